--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -202,7 +202,7 @@
     /// Whether a chosen endpoint still takes a request, now that a connection is there.
     fn takes_one_more(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let snapshot = self.shared.snapshot.load();
-        snapshot.takes(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).takes(endpoint)
+        snapshot.accepts(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).takes(endpoint)
     }
 
     /// Notes a send to an endpoint that is, or may turn, cold.
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -101,7 +101,7 @@
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
             let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
-            for endpoint in directory.taking(&service.name) {
+            for endpoint in directory.accepting(&service.name) {
                 let back_ms =
                     taken_back.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
                 let Some(until_ms) = directory.cold_until_ms(endpoint.key, now_ms).max(back_ms)
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -106,7 +106,7 @@
     }
 
     /// Endpoints of a service that take new requests.
-    pub fn taking<'a, 'b>(
+    pub fn accepting<'a, 'b>(
         &'a self,
         service: &'b str,
     ) -> impl Iterator<Item = &'a Endpoint> + use<'a, 'b> {
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -48,7 +48,7 @@
         Self { begins_ms: now_ms, closes_ms: now_ms + left_ms }
     }
 
-    fn takes(self, key: u64, now_ms: u64) -> bool {
+    fn accepts(self, key: u64, now_ms: u64) -> bool {
         let span_ms = self.closes_ms.saturating_sub(self.begins_ms);
         now_ms < self.closes_ms && self.begins_ms + key % span_ms.max(1) > now_ms
     }
@@ -102,8 +102,8 @@
 
     /// Whether requests with this key still go to a zone. They leave it in the order of their keys.
     #[must_use]
-    pub fn takes(&self, zone: &str, key: u64, now_ms: u64) -> bool {
-        self.zones.get(zone).is_none_or(|leaving| leaving.takes(key, now_ms))
+    pub fn accepts(&self, zone: &str, key: u64, now_ms: u64) -> bool {
+        self.zones.get(zone).is_none_or(|leaving| leaving.accepts(key, now_ms))
     }
 
     /// Whether no request goes to a zone any more.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -253,7 +253,7 @@
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
         let fresh = snapshot
-            .taking(&service.name, job.moving_key(), now_ms)
+            .accepting(&service.name, job.moving_key(), now_ms)
             .filter(|one| !job.tried.contains(&one.key) && eligibility.takes(one));
         let book = self.shared.book();
         let homes = self.shared.homes();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -24,20 +24,20 @@
 }
 
 impl Snapshot {
-    /// Endpoints of a service that take a new request; `key` as in [`evacuation::Evacuations::takes`].
-    pub fn taking<'a, 'b>(
+    /// Endpoints of a service that take a new request; `key` as in [`evacuation::Evacuations::accepts`].
+    pub fn accepting<'a, 'b>(
         &'a self,
         service: &'b str,
         key: u64,
         now_ms: u64,
     ) -> impl Iterator<Item = &'a directory::Endpoint> + use<'a, 'b> {
-        let taking = self.directory.taking(service);
-        taking.filter(move |endpoint| self.evacuations.takes(&endpoint.zone, key, now_ms))
+        let accepting = self.directory.accepting(service);
+        accepting.filter(move |endpoint| self.evacuations.accepts(&endpoint.zone, key, now_ms))
     }
 
     /// Whether this start of an endpoint still takes new requests.
     #[must_use]
-    pub fn takes(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
+    pub fn accepts(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let is_same = |known: &directory::Endpoint| {
             !known.is_leaving && known.started_unix_ms == endpoint.started_unix_ms
         };
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -17,7 +17,7 @@
 }
 
 fn taking(directory: &Directory) -> Vec<String> {
-    directory.taking("engine").map(|one| one.id.to_string()).collect()
+    directory.accepting("engine").map(|one| one.id.to_string()).collect()
 }
 
 fn listed() -> Directory {
--- a/tests/gateway/evacuations.rs
+++ b/tests/gateway/evacuations.rs
@@ -103,19 +103,19 @@
     let documents: Vec<u64> = (0..2_000).map(|_| random.random()).collect();
     let mut before = documents.len();
     for passed_ms in (0..LEAVE_MS).step_by(100) {
-        let stays = |one: &&u64| near.takes("a", **one, NOW_MS + passed_ms);
+        let stays = |one: &&u64| near.accepts("a", **one, NOW_MS + passed_ms);
         let left = documents.iter().filter(stays).count();
         assert!(before - left <= documents.len() / 15, "{} at {passed_ms} ms", before - left);
         before = left;
         if passed_ms >= 200 {
             let agrees = |one: &u64| {
-                near.takes("a", *one, NOW_MS + passed_ms)
-                    == far.takes("a", *one, 70_000 + passed_ms)
+                near.accepts("a", *one, NOW_MS + passed_ms)
+                    == far.accepts("a", *one, 70_000 + passed_ms)
             };
             assert!(documents.iter().all(agrees), "at {passed_ms} ms");
         }
     }
-    assert!(documents.iter().all(|one| !near.takes("a", *one, NOW_MS + LEAVE_MS)));
+    assert!(documents.iter().all(|one| !near.accepts("a", *one, NOW_MS + LEAVE_MS)));
     assert!(near.is_closed("a", NOW_MS + LEAVE_MS) && !near.is_closed("a", NOW_MS + LEAVE_MS - 1));
 }
 
@@ -124,8 +124,8 @@
 fn a_zone_that_is_found_evacuated_closes_at_once() {
     let evacuations = listed(&["a"], 10);
     assert!(evacuations.is_closed("a", NOW_MS));
-    assert!(!evacuations.takes("a", u64::MAX, NOW_MS));
-    assert!(evacuations.takes("b", 0, NOW_MS));
+    assert!(!evacuations.accepts("a", u64::MAX, NOW_MS));
+    assert!(evacuations.accepts("b", 0, NOW_MS));
 }
 
 /// Guards against a time that begins anew with each entry that passes the news on.
