--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -147,7 +147,7 @@
     /// told already is left out: an endpoint that is known to be gone would come back by its last
     /// beat, and its removal behind that would look like a lapse. One that lapsed and came back would be
     /// given up after its grace time, since its return is left out as old.
-    pub fn follow(
+    pub fn apply_events(
         &mut self,
         events: impl Iterator<Item = Event>,
         revision: u64,
@@ -159,7 +159,7 @@
             return false;
         }
         let events = newer(events.collect(), known);
-        let mut is_changed = self.note_cold(&events, revision, now_ms);
+        let mut is_changed = self.update_cold(&events, revision, now_ms);
         for event in events {
             is_changed |= self.apply(event.change, revision.max(known), keep_until_ms);
         }
@@ -167,7 +167,7 @@
     }
 
     /// Takes from the store how long endpoints stay cold. Gives whether any has turned cold.
-    pub fn note_cold(&mut self, events: &[Event], revision: u64, now_ms: u64) -> bool {
+    pub fn update_cold(&mut self, events: &[Event], revision: u64, now_ms: u64) -> bool {
         let mut is_changed = false;
         for event in events {
             if let Change::Present(endpoint) = &event.change {
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -139,7 +139,7 @@
     /// zones that it adds close after `left_ms`.
     ///
     /// A watch that goes on after an outage brings changes that another entry has told of already.
-    pub fn follow(
+    pub fn apply_changes(
         &mut self,
         changes: impl Iterator<Item = Change>,
         revision: u64,
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -153,9 +153,9 @@
                     directory::Change::Gone(_) => None,
                 });
                 directory.replace(listed.collect(), revision, keep_until_ms)
-                    | directory.note_cold(&events, revision, now_ms)
+                    | directory.update_cold(&events, revision, now_ms)
             } else {
-                directory.follow(events, revision, keep_until_ms, now_ms)
+                directory.apply_events(events, revision, keep_until_ms, now_ms)
             };
             is_changed | directory.expire(now_ms)
         }),
@@ -174,7 +174,7 @@
             }
             let allowed_ms = control.shared.settings.evacuation_ms.filter(|_| is_live);
             let left_ms = evacuation::leave_ms(allowed_ms.unwrap_or(0));
-            evacuations.follow(changes, revision, left_ms, now_ms)
+            evacuations.apply_changes(changes, revision, left_ms, now_ms)
         }),
     }
 }
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -107,7 +107,7 @@
     let beat = Event { change: Change::Present(endpoint("one")), revision: 150, cold_ms: 0 };
     let removal = Event { change: Change::Gone("one".into()), revision: 187, cold_ms: 0 };
     let came = Event { change: Change::Present(endpoint("three")), revision: 200, cold_ms: 0 };
-    assert!(directory.follow([beat, removal, came].into_iter(), 212, Some(9_000), 0));
+    assert!(directory.apply_events([beat, removal, came].into_iter(), 212, Some(9_000), 0));
     assert_eq!(taking(&directory), ["three", "two"]);
     assert!(directory.lapsed(0).is_empty());
 }
@@ -129,10 +129,10 @@
     newer.apply(Change::Gone("two".into()), 70, None);
     assert!(directory.adopt(newer, &[], &[], 0));
     // All of it is older than the peer's list.
-    directory.follow([gone("one", 12)].into_iter(), 64, Some(5_000), 0);
+    directory.apply_events([gone("one", 12)].into_iter(), 64, Some(5_000), 0);
     // Some of it is.
     let mixed = [gone("one", 12), present("one", 68), present("three", 72)];
-    directory.follow(mixed.into_iter(), 72, Some(5_000), 0);
+    directory.apply_events(mixed.into_iter(), 72, Some(5_000), 0);
     assert!(directory.lapsed(0).is_empty());
     directory.expire(9_000);
     assert_eq!(taking(&directory), ["one", "three"]);
@@ -147,7 +147,7 @@
     newer.apply(Change::Gone("two".into()), 70, None);
     assert!(directory.adopt(newer, &[], &[], 0));
     let lapse = [gone("one", 12), present("one", 68), gone("one", 68)];
-    directory.follow(lapse.into_iter(), 75, Some(5_000), 0);
+    directory.apply_events(lapse.into_iter(), 75, Some(5_000), 0);
     assert!(directory.expire(9_000));
     assert!(taking(&directory).is_empty());
 }
--- a/tests/gateway/evacuations.rs
+++ b/tests/gateway/evacuations.rs
@@ -21,7 +21,12 @@
 
 fn evacuated(zone: &str, revision: u64, left_ms: u64) -> Evacuations {
     let mut evacuations = listed(&[], 1);
-    evacuations.follow([Change::Evacuated(zone.into())].into_iter(), revision, left_ms, NOW_MS);
+    evacuations.apply_changes(
+        [Change::Evacuated(zone.into())].into_iter(),
+        revision,
+        left_ms,
+        NOW_MS,
+    );
     evacuations
 }
 
@@ -30,7 +35,7 @@
 fn a_zone_that_was_taken_back_never_returns_from_an_entry_that_missed_it() {
     let mut behind = listed(&["a"], 10);
     let mut ahead = behind.clone();
-    assert!(ahead.follow([Change::TakenBack("a".into())].into_iter(), 14, 0, NOW_MS));
+    assert!(ahead.apply_changes([Change::TakenBack("a".into())].into_iter(), 14, 0, NOW_MS));
     assert!(!ahead.adopt(&behind.told(NOW_MS), NOW_MS));
     assert!(!ahead.has("a"));
     assert!(behind.adopt(&ahead.told(NOW_MS), NOW_MS));
@@ -44,7 +49,7 @@
     let mut evacuations = listed(&[], 10);
     assert!(evacuations.adopt(&listed(&[], 14).told(NOW_MS), NOW_MS));
     let old = [Change::Evacuated("a".into())].into_iter();
-    assert!(!evacuations.follow(old, 12, LEAVE_MS, NOW_MS));
+    assert!(!evacuations.apply_changes(old, 12, LEAVE_MS, NOW_MS));
     assert!(!evacuations.has("a"));
 }
 
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -155,7 +155,7 @@
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
     let mut peer = directory.clone();
-    assert!(directory.follow([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(directory.apply_events([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
     let key = EndpointKey::of("one");
     assert_eq!(directory.cold_until_ms(key, 50_100), Some(53_000));
     let cold = directory.cold(50_200);
@@ -169,11 +169,14 @@
 fn the_beats_of_a_cold_endpoint_are_no_news() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
-    assert!(directory.follow([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
-    assert!(!directory.follow([told("one", 1_900, 12)].into_iter(), 12, None, 51_300));
+    assert!(directory.apply_events([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(!directory.apply_events([told("one", 1_900, 12)].into_iter(), 12, None, 51_300));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 51_300), Some(53_000));
-    assert!(directory.follow([told("one", 3_000, 13)].into_iter(), 13, None, 52_000), "cold again");
-    assert!(!directory.follow([told("one", 0, 14)].into_iter(), 14, None, 52_500));
+    assert!(
+        directory.apply_events([told("one", 3_000, 13)].into_iter(), 13, None, 52_000),
+        "cold again"
+    );
+    assert!(!directory.apply_events([told("one", 0, 14)].into_iter(), 14, None, 52_500));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 52_500), None);
 }
 
