--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -253,7 +253,7 @@
             self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
         }
         let departure = departures::Departure::of(endpoint);
-        if facts.is_leaving && self.shared.departures().note(departure, now_ms) {
+        if facts.is_leaving && self.shared.departures().record(departure, now_ms) {
             lines::endpoint_leaves(&self.log, endpoint, "answer");
             self.shared.news.notify_one();
         }
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -63,7 +63,7 @@
         let directory = self.directory.borrow();
         let mut departures = self.shared.departures();
         for departure in told {
-            let is_new = departures.note(*departure, now_ms);
+            let is_new = departures.record(*departure, now_ms);
             if let Some(endpoint) = directory.find(departure.endpoint).filter(|_| is_new) {
                 lines::endpoint_leaves(&self.log, endpoint, "peer");
             }
--- a/src/gateway/departures.rs
+++ b/src/gateway/departures.rs
@@ -44,7 +44,7 @@
 
 impl Departures {
     /// Notes one. Gives whether it was not known. Of two starts of an endpoint the later one counts.
-    pub fn note(&mut self, departure: Departure, now_ms: u64) -> bool {
+    pub fn record(&mut self, departure: Departure, now_ms: u64) -> bool {
         let Departure { endpoint, started_unix_ms } = departure;
         let is_old = |known: &Known| started_unix_ms <= known.started_unix_ms;
         if self.known.get(&endpoint).is_some_and(is_old) {
@@ -56,14 +56,14 @@
 
     /// Whether this start of an endpoint leaves.
     #[must_use]
-    pub fn has(&self, endpoint: &Endpoint) -> bool {
+    pub fn contains(&self, endpoint: &Endpoint) -> bool {
         let known = self.known.get(&endpoint.key);
         known.is_some_and(|known| known.started_unix_ms == endpoint.started_unix_ms)
     }
 
     /// What the other entries are told.
     #[must_use]
-    pub fn told(&self, now_ms: u64) -> Vec<Departure> {
+    pub fn recent(&self, now_ms: u64) -> Vec<Departure> {
         let recent = self.known.iter().filter(|(_, known)| now_ms < known.since_ms + TOLD_MS);
         let told = recent.map(|(endpoint, known)| Departure {
             endpoint: *endpoint,
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -21,7 +21,7 @@
         let key = endpoint.key;
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
-            && !self.departures.has(endpoint)
+            && !self.departures.contains(endpoint)
             && self.backoff.left_ms(endpoint, self.now_ms) == 0
     }
 }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -85,7 +85,7 @@
         evacuations: control.evacuations.borrow().told(now_ms),
         limits,
         limits_stamp,
-        departures: control.shared.departures().told(now_ms),
+        departures: control.shared.departures().recent(now_ms),
     }
 }
 
@@ -131,7 +131,7 @@
     let limited = control.shared.limits().count();
     let leaving = {
         let departures = control.shared.departures();
-        snapshot.directory.endpoints().iter().filter(|one| departures.has(one)).count()
+        snapshot.directory.endpoints().iter().filter(|one| departures.contains(one)).count()
     };
     measures::known(&snapshot, limited, leaving, peers.live(now_ms), control.holds_duties.get());
 }
--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -15,13 +15,13 @@
 #[test]
 fn a_departure_holds_for_one_start_of_an_endpoint() {
     let mut departures = Departures::default();
-    assert!(departures.note(Departure::of(&started(5_000)), 100));
-    assert!(!departures.note(Departure::of(&started(5_000)), 200), "no news");
-    assert!(departures.has(&started(5_000)));
-    assert!(!departures.has(&started(9_000)), "started anew");
-    assert!(departures.note(Departure::of(&started(9_000)), 300));
-    assert!(!departures.note(Departure::of(&started(5_000)), 400), "an earlier start");
-    assert!(departures.has(&started(9_000)));
+    assert!(departures.record(Departure::of(&started(5_000)), 100));
+    assert!(!departures.record(Departure::of(&started(5_000)), 200), "no news");
+    assert!(departures.contains(&started(5_000)));
+    assert!(!departures.contains(&started(9_000)), "started anew");
+    assert!(departures.record(Departure::of(&started(9_000)), 300));
+    assert!(!departures.record(Departure::of(&started(5_000)), 400), "an earlier start");
+    assert!(departures.contains(&started(9_000)));
 }
 
 /// Guards against entries that send to a leaving endpoint until it has answered each of them.
@@ -31,9 +31,9 @@
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.run_ms(2_500);
         let now_ms = fleet.now_ms;
-        fleet.nodes[entries / 2].departures.note(Departure::of(&started(5_000)), now_ms);
+        fleet.nodes[entries / 2].departures.record(Departure::of(&started(5_000)), now_ms);
         fleet.run_ms(500);
-        let knows = |departures: &Departures| departures.has(&started(5_000));
+        let knows = |departures: &Departures| departures.contains(&started(5_000));
         let behind = fleet.nodes.iter().filter(|node| !knows(&node.departures)).count();
         assert_eq!(behind, 0, "of {entries} entries");
     }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -245,7 +245,7 @@
             }
             Message::Departures(departures) => {
                 for departure in departures {
-                    node.departures.note(departure, now_ms);
+                    node.departures.record(departure, now_ms);
                 }
             }
             Message::Counts { from, counts } => {
@@ -372,7 +372,7 @@
         evacuations: node.evacuations.told(now_ms),
         limits: node.limits.told(now_ms),
         limits_stamp: node.limits.newest_stamp(),
-        departures: node.departures.told(now_ms),
+        departures: node.departures.recent(now_ms),
     }
 }
 
