--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -24,11 +24,11 @@
 
     fn log_evacuations(&self, before: &evacuation::Evacuations, source: &'static str) {
         let now = self.evacuations.borrow();
-        for zone in now.zones().filter(|zone| !before.has(zone)) {
+        for zone in now.zones().filter(|zone| !before.contains(zone)) {
             slog::info!(self.log, "zone evacuated"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
         }
-        for zone in before.zones().filter(|zone| !now.has(zone)) {
+        for zone in before.zones().filter(|zone| !now.contains(zone)) {
             self.taken_back.borrow_mut().insert(zone.clone(), self.now_ms());
             slog::info!(self.log, "zone taken back"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Evacuated(CompactString),
-    TakenBack(CompactString),
+    Restored(CompactString),
 }
 
 /// An evacuated zone.
@@ -56,7 +56,7 @@
 
 /// A zone as other entries are told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldZone {
+pub struct ZoneSnapshot {
     zone: CompactString,
     /// Since when requests leave it, and for how much longer.
     since_ms: u32,
@@ -65,9 +65,9 @@
 
 /// The evacuated zones as other entries are told of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Snapshot {
     pub revision: u64,
-    zones: Vec<ToldZone>,
+    zones: Vec<ZoneSnapshot>,
 }
 
 /// The evacuated zones.
@@ -92,7 +92,7 @@
 
     /// Whether a zone is evacuated, or about to be.
     #[must_use]
-    pub fn has(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
@@ -155,7 +155,7 @@
                 Change::Evacuated(zone) => {
                     zones.entry(zone).or_insert(Leaving::within(now_ms, left_ms));
                 }
-                Change::TakenBack(zone) => {
+                Change::Restored(zone) => {
                     zones.remove(&zone);
                 }
             }
@@ -169,22 +169,22 @@
 
     /// What the other entries are told.
     #[must_use]
-    pub fn told(&self, now_ms: u64) -> Told {
+    pub fn snapshot(&self, now_ms: u64) -> Snapshot {
         let short = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
-        let told = |(zone, leaving): (&CompactString, &Leaving)| ToldZone {
+        let told = |(zone, leaving): (&CompactString, &Leaving)| ZoneSnapshot {
             zone: zone.clone(),
             since_ms: short(now_ms.saturating_sub(leaving.begins_ms)),
             left_ms: short(leaving.closes_ms.saturating_sub(now_ms)),
         };
-        Told { revision: self.revision, zones: self.zones.iter().map(told).collect() }
+        Snapshot { revision: self.revision, zones: self.zones.iter().map(told).collect() }
     }
 
     /// Takes another entry's set if it is newer. Gives whether it was.
-    pub fn adopt(&mut self, other: &Told, now_ms: u64) -> bool {
+    pub fn adopt(&mut self, other: &Snapshot, now_ms: u64) -> bool {
         if other.revision <= self.revision {
             return false;
         }
-        let leaving = |one: &ToldZone| {
+        let leaving = |one: &ZoneSnapshot| {
             let told = Leaving {
                 begins_ms: now_ms.saturating_sub(u64::from(one.since_ms)),
                 closes_ms: now_ms + u64::from(one.left_ms),
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -82,7 +82,7 @@
         is_stopping: control.shared.is_draining(),
         lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
         gate: control.shared.gate.ages(now_ms),
-        evacuations: control.evacuations.borrow().told(now_ms),
+        evacuations: control.evacuations.borrow().snapshot(now_ms),
         limits,
         limits_stamp,
         departures: control.shared.departures().recent(now_ms),
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -46,7 +46,7 @@
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
     pub gate: gate::Ages,
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
     pub limits: Vec<limits::Told>,
     /// The newest change of an endpoint's limit.
     pub limits_stamp: u64,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -36,7 +36,7 @@
     /// The newest that is known of the lease of the duties, where its holder tells of it.
     pub lease: Option<lease::Told>,
     pub gate: gate::Ages,
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
 }
 
 impl State {
--- a/src/gateway/fleet/recall.rs
+++ b/src/gateway/fleet/recall.rs
@@ -36,7 +36,8 @@
     let zone = &control.shared.settings.zone;
     let services = table.services().iter().filter(|service| service.engine.is_some());
     let engines = services.flat_map(|service| snapshot.directory.accepting(&service.name));
-    let is_asked = |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.has(zone);
+    let is_asked =
+        |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.contains(zone);
     engines.filter(is_asked).cloned().collect()
 }
 
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -168,7 +168,7 @@
             if is_list {
                 let zones = changes.filter_map(|change| match change {
                     evacuation::Change::Evacuated(zone) => Some(zone),
-                    evacuation::Change::TakenBack(_) => None,
+                    evacuation::Change::Restored(_) => None,
                 });
                 return evacuations.replace(zones, revision, now_ms);
             }
--- a/tests/gateway/evacuations.rs
+++ b/tests/gateway/evacuations.rs
@@ -35,11 +35,11 @@
 fn a_zone_that_was_taken_back_never_returns_from_an_entry_that_missed_it() {
     let mut behind = listed(&["a"], 10);
     let mut ahead = behind.clone();
-    assert!(ahead.apply_changes([Change::TakenBack("a".into())].into_iter(), 14, 0, NOW_MS));
-    assert!(!ahead.adopt(&behind.told(NOW_MS), NOW_MS));
-    assert!(!ahead.has("a"));
-    assert!(behind.adopt(&ahead.told(NOW_MS), NOW_MS));
-    assert!(!behind.has("a"));
+    assert!(ahead.apply_changes([Change::Restored("a".into())].into_iter(), 14, 0, NOW_MS));
+    assert!(!ahead.adopt(&behind.snapshot(NOW_MS), NOW_MS));
+    assert!(!ahead.contains("a"));
+    assert!(behind.adopt(&ahead.snapshot(NOW_MS), NOW_MS));
+    assert!(!behind.contains("a"));
 }
 
 /// Guards against a watch that goes on from before an outage and brings what others told meanwhile to have
@@ -47,10 +47,10 @@
 #[test]
 fn old_changes_after_an_outage_evacuate_nothing() {
     let mut evacuations = listed(&[], 10);
-    assert!(evacuations.adopt(&listed(&[], 14).told(NOW_MS), NOW_MS));
+    assert!(evacuations.adopt(&listed(&[], 14).snapshot(NOW_MS), NOW_MS));
     let old = [Change::Evacuated("a".into())].into_iter();
     assert!(!evacuations.apply_changes(old, 12, LEAVE_MS, NOW_MS));
-    assert!(!evacuations.has("a"));
+    assert!(!evacuations.contains("a"));
 }
 
 /// Guards against a list that was asked for before a change and arrives behind it.
@@ -58,9 +58,9 @@
 fn a_list_that_is_older_than_what_is_known_changes_nothing() {
     let mut evacuations = listed(&["a", "b"], 20);
     assert!(!evacuations.replace([].into_iter(), 19, NOW_MS));
-    assert!(evacuations.has("a"));
+    assert!(evacuations.contains("a"));
     assert!(evacuations.replace(["b".into()].into_iter(), 21, NOW_MS));
-    assert!(!evacuations.has("a") && evacuations.has("b"));
+    assert!(!evacuations.contains("a") && evacuations.contains("b"));
 }
 
 /// Guards against requests that go to an evacuated zone for as long as some entry has not heard of it.
@@ -75,7 +75,7 @@
         fleet.nodes[reader].evacuations = evacuated("a", 10, LEAVE_MS);
         fleet.nodes[reader].has_news = true;
         let begin_ms = fleet.now_ms;
-        while !fleet.nodes.iter().all(|node| node.evacuations.has("a")) {
+        while !fleet.nodes.iter().all(|node| node.evacuations.contains("a")) {
             assert!(fleet.now_ms < begin_ms + 1_000, "{entries} entries");
             fleet.step();
         }
@@ -103,7 +103,7 @@
     let near = evacuated("a", 10, LEAVE_MS);
     let mut far = listed(&[], 1);
     // Told 200 ms later, on a clock of its own.
-    assert!(far.adopt(&near.told(NOW_MS + 200), 70_200));
+    assert!(far.adopt(&near.snapshot(NOW_MS + 200), 70_200));
     let mut random = StdRng::seed_from_u64(7);
     let documents: Vec<u64> = (0..2_000).map(|_| random.random()).collect();
     let mut before = documents.len();
@@ -138,8 +138,8 @@
 fn news_that_go_round_do_not_prolong_an_evacuation() {
     let mut first = evacuated("a", 10, LEAVE_MS);
     let mut second = listed(&[], 1);
-    second.adopt(&first.told(NOW_MS + 1_000), NOW_MS + 1_100);
-    let back = Evacuations::clone(&second).told(NOW_MS + 2_000);
+    second.adopt(&first.snapshot(NOW_MS + 1_000), NOW_MS + 1_100);
+    let back = Evacuations::clone(&second).snapshot(NOW_MS + 2_000);
     first.adopt(&back, NOW_MS + 2_100);
     assert!(first.is_closed("a", NOW_MS + LEAVE_MS));
     assert!(second.is_closed("a", NOW_MS + LEAVE_MS + 100));
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -369,7 +369,7 @@
         is_stopping: node.is_stopping,
         lease: None,
         gate: gate::Gate::default().ages(now_ms),
-        evacuations: node.evacuations.told(now_ms),
+        evacuations: node.evacuations.snapshot(now_ms),
         limits: node.limits.told(now_ms),
         limits_stamp: node.limits.newest_stamp(),
         departures: node.departures.recent(now_ms),
