--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -56,7 +56,7 @@
 /// When all entries are restarted one after the other, the last one would send all callers to the one
 /// that is just back; whatever happens to that one happens to everybody.
 #[must_use]
-pub fn stays(since_ms: u64, now_ms: u64, serving: usize, others: usize) -> bool {
+pub fn accepts_while_draining(since_ms: u64, now_ms: u64, serving: usize, others: usize) -> bool {
     now_ms < since_ms.saturating_add(STAY_MS) && serving * 2 < others
 }
 
@@ -118,13 +118,18 @@
 async fn stay(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
     let others = shared.entries.load(Ordering::Relaxed).saturating_sub(1);
     let mut now_ms = begin_ms;
-    while stays(begin_ms, now_ms, shared.serving_others.load(Ordering::Relaxed), others) {
-        shared.stays.store(true, Ordering::Release);
+    while accepts_while_draining(
+        begin_ms,
+        now_ms,
+        shared.serving_others.load(Ordering::Relaxed),
+        others,
+    ) {
+        shared.accepts_while_draining.store(true, Ordering::Release);
         time::sleep(POLL).await;
         now_ms = clock::boot_ms();
         shared.draining_since_ms.store(now_ms, Ordering::Release);
     }
-    if shared.stays.swap(false, Ordering::AcqRel) {
+    if shared.accepts_while_draining.swap(false, Ordering::AcqRel) {
         slog::info!(log, "stayed while few others serve"; "took_ms" => now_ms - begin_ms,
             "others" => others);
     }
@@ -152,7 +157,7 @@
         let last_request_ms = shared.last_request_ms.load(Ordering::Acquire);
         match stop.step(now_ms, active, last_request_ms) {
             Step::Wait => {}
-            Step::Close => shared.is_closed.store(true, Ordering::Release),
+            Step::Close => shared.is_admission_closed.store(true, Ordering::Release),
             Step::End => {
                 deliver_counts(shared, stop.ends.end_ms).await;
                 slog::info!(log, "drained"; "left" => active, "took_ms" => now_ms - begin_ms);
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -68,7 +68,7 @@
         let refuse = error::Refusal::not_run;
         let arrived_ms = self.now_ms();
         self.shared.last_request_ms.store(arrived_ms, Ordering::Release);
-        if self.shared.is_closed() {
+        if self.shared.is_admission_closed() {
             return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
         }
         let snapshot = self.shared.snapshot.load();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -57,9 +57,9 @@
     pub is_ready: AtomicBool,
     pub is_draining: AtomicBool,
     /// A stop is under way, and new callers are still taken.
-    pub stays: AtomicBool,
+    pub accepts_while_draining: AtomicBool,
     /// Set by a stop shortly before the process ends.
-    pub is_closed: AtomicBool,
+    pub is_admission_closed: AtomicBool,
     /// When the stop was asked for, on the boot clock.
     pub draining_since_ms: AtomicU64,
     /// Entries heard of lately, this one among them.
@@ -104,8 +104,8 @@
             snapshot: ArcSwap::default(),
             is_ready: AtomicBool::new(false),
             is_draining: AtomicBool::new(false),
-            stays: AtomicBool::new(false),
-            is_closed: AtomicBool::new(false),
+            accepts_while_draining: AtomicBool::new(false),
+            is_admission_closed: AtomicBool::new(false),
             draining_since_ms: AtomicU64::new(u64::MAX),
             entries: AtomicUsize::new(1),
             sharers: AtomicUsize::new(1),
@@ -226,13 +226,14 @@
 
     /// Whether nothing new is begun any more: the process ends within a moment.
     #[must_use]
-    pub fn is_closed(&self) -> bool {
-        self.is_closed.load(Ordering::Acquire)
+    pub fn is_admission_closed(&self) -> bool {
+        self.is_admission_closed.load(Ordering::Acquire)
     }
 
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let takes_callers = !self.is_draining() || self.stays.load(Ordering::Acquire);
+        let takes_callers =
+            !self.is_draining() || self.accepts_while_draining.load(Ordering::Acquire);
         self.is_ready.load(Ordering::Acquire) && takes_callers
     }
 }
--- a/tests/gateway/drain.rs
+++ b/tests/gateway/drain.rs
@@ -61,9 +61,12 @@
 /// If it turned callers away at once, all of them would come to that one, which may just be frozen.
 #[test]
 fn a_stopping_entry_takes_callers_for_a_while_when_few_others_do() {
-    assert!(drain::stays(3_000, 3_000, 1, 3));
-    assert!(!drain::stays(3_000, 3_000, 2, 3), "most of the others serve");
-    assert!(!drain::stays(3_000, 3_000, 0, 0), "there is no other to wait for");
-    assert!(drain::stays(3_000, 4_700, 1, 3));
-    assert!(!drain::stays(3_000, 4_800, 0, 3), "the platform ends it after a while");
+    assert!(drain::accepts_while_draining(3_000, 3_000, 1, 3));
+    assert!(!drain::accepts_while_draining(3_000, 3_000, 2, 3), "most of the others serve");
+    assert!(!drain::accepts_while_draining(3_000, 3_000, 0, 0), "there is no other to wait for");
+    assert!(drain::accepts_while_draining(3_000, 4_700, 1, 3));
+    assert!(
+        !drain::accepts_while_draining(3_000, 4_800, 0, 3),
+        "the platform ends it after a while"
+    );
 }
