--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -132,7 +132,7 @@
         if let Some(prompt) = &job.request.prompt {
             self.shared.homes().place(endpoint.key, &prompt.parts, now_ms);
             if is_news(choice) {
-                self.shared.news.notify_one();
+                self.shared.urgent_update.notify_one();
             }
         }
         let bytes = self.form.encode(&job.call(&endpoint.id, now_ms));
@@ -255,7 +255,7 @@
         let departure = departures::Departure::of(endpoint);
         if facts.is_leaving && self.shared.departures().record(departure, now_ms) {
             lines::endpoint_leaves(&self.log, endpoint, "answer");
-            self.shared.news.notify_one();
+            self.shared.urgent_update.notify_one();
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
@@ -263,7 +263,7 @@
         if let Some(change) = change {
             lines::endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // The other entries send at their usual rate until they know.
-            self.shared.news.notify_one();
+            self.shared.urgent_update.notify_one();
         }
     }
 
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -19,7 +19,7 @@
         self.log_evacuations(&before, source);
         self.publish();
         // The other entries send there until they know.
-        self.shared.news.notify_one();
+        self.shared.urgent_update.notify_one();
     }
 
     fn log_evacuations(&self, before: &evacuation::Evacuations, source: &'static str) {
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -116,12 +116,12 @@
 
 /// Takes new callers for a while longer if hardly any other entry does.
 async fn stay(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
-    let others = shared.entries.load(Ordering::Relaxed).saturating_sub(1);
+    let others = shared.live_entries.load(Ordering::Relaxed).saturating_sub(1);
     let mut now_ms = begin_ms;
     while accepts_while_draining(
         begin_ms,
         now_ms,
-        shared.serving_others.load(Ordering::Relaxed),
+        shared.serving_peers.load(Ordering::Relaxed),
         others,
     ) {
         shared.accepts_while_draining.store(true, Ordering::Release);
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -33,7 +33,7 @@
     let mut next_counts_ms: u64 = 0;
     loop {
         let wait_ms = next_ms.saturating_sub(control.now_ms());
-        let news = control.shared.news.notified();
+        let news = control.shared.urgent_update.notified();
         let is_news =
             wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
         if is_news {
@@ -121,12 +121,12 @@
     let peers = &mut exchange.peers;
     peers.forget(now_ms);
     let sharing = peers.sharing(now_ms);
-    control.shared.entries.store(sharing, Ordering::Relaxed);
+    control.shared.live_entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
     let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
-    control.shared.sharers.store(sharing, Ordering::Relaxed);
-    control.shared.serving_others.store(peers.serving(now_ms), Ordering::Relaxed);
+    control.shared.retry_budget_divisor.store(sharing, Ordering::Relaxed);
+    control.shared.serving_peers.store(peers.serving(now_ms), Ordering::Relaxed);
     let snapshot = control.shared.snapshot.load();
     let limited = control.shared.limits().count();
     let leaving = {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -243,7 +243,7 @@
     /// Takes a retry out of the route's attempts and the shared budget.
     fn may_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
     }
@@ -331,7 +331,7 @@
     /// failure that an endpoint gave is the caller's answer.
     fn can_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         let snapshot = self.shared.snapshot.load();
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().has_room(&job.service().name, sharers, now_ms)
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -63,13 +63,13 @@
     /// When the stop was asked for, on the boot clock.
     pub draining_since_ms: AtomicU64,
     /// Entries heard of lately, this one among them.
-    pub entries: AtomicUsize,
+    pub live_entries: AtomicUsize,
     /// By how many entries the fixed part of the retry budget is divided.
-    pub sharers: AtomicUsize,
+    pub retry_budget_divisor: AtomicUsize,
     /// Another entry has all that was counted here.
     pub counts_delivered: AtomicBool,
     /// Other entries heard of just now that are not stopping.
-    pub serving_others: AtomicUsize,
+    pub serving_peers: AtomicUsize,
     /// When a caller's last request came, on the boot clock.
     pub last_request_ms: AtomicU64,
     /// Requests under way here.
@@ -77,7 +77,7 @@
     /// Turns prompts away while hardly any engine is free.
     pub gate: gate::Gate,
     /// Wakes the control thread: the other entries have to know of a long prompt at once.
-    pub news: Notify,
+    pub urgent_update: Notify,
     /// What the settings allow of retries; may change while the process runs.
     retries: Mutex<settings::Retries>,
     book: Mutex<load::Book>,
@@ -96,7 +96,7 @@
     #[must_use]
     pub fn new(settings: settings::Gateway, boot: u64) -> Self {
         Self {
-            news: Notify::new(),
+            urgent_update: Notify::new(),
             retries: Mutex::new(settings.retries),
             settings,
             boot,
@@ -107,10 +107,10 @@
             accepts_while_draining: AtomicBool::new(false),
             is_admission_closed: AtomicBool::new(false),
             draining_since_ms: AtomicU64::new(u64::MAX),
-            entries: AtomicUsize::new(1),
-            sharers: AtomicUsize::new(1),
+            live_entries: AtomicUsize::new(1),
+            retry_budget_divisor: AtomicUsize::new(1),
             counts_delivered: AtomicBool::new(true),
-            serving_others: AtomicUsize::new(0),
+            serving_peers: AtomicUsize::new(0),
             last_request_ms: AtomicU64::new(0),
             active: AtomicU32::new(0),
             gate: gate::Gate::default(),
