--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -41,7 +41,7 @@
 impl Ticket {
     fn open(gateway: &Rc<Gateway>, choice: &choose::Choice<'_>) -> Self {
         let work = load::Work { requests: 1, unread_tokens: u64::from(choice.unread_tokens) };
-        gateway.shared.book().add(choice.endpoint.key, work, gateway.now_ms());
+        gateway.shared.load_table().add(choice.endpoint.key, work, gateway.now_ms());
         let before_tokens = choice.work.unread_tokens + work.unread_tokens;
         Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, before_tokens }
     }
@@ -55,14 +55,14 @@
     /// The prompt has been read: the first event is there.
     pub fn first_event(&mut self) {
         let read = load::Work { requests: 0, unread_tokens: self.work.unread_tokens };
-        self.gateway.shared.book().remove(self.endpoint, read);
+        self.gateway.shared.load_table().remove(self.endpoint, read);
         self.work.unread_tokens = 0;
     }
 }
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        self.gateway.shared.book().remove(self.endpoint, self.work);
+        self.gateway.shared.load_table().remove(self.endpoint, self.work);
     }
 }
 
@@ -130,7 +130,7 @@
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().note(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
-            self.shared.homes().place(endpoint.key, &prompt.parts, now_ms);
+            self.shared.prefix_locations().place(endpoint.key, &prompt.parts, now_ms);
             if is_news(choice) {
                 self.shared.urgent_update.notify_one();
             }
@@ -247,7 +247,7 @@
         let now_ms = self.now_ms();
         self.health.borrow_mut().heard(endpoint.key, now_ms);
         if let Some(load) = facts.load {
-            self.shared.book().take_report(endpoint.key, load.running + load.waiting, now_ms);
+            self.shared.load_table().take_report(endpoint.key, load.running + load.waiting, now_ms);
         }
         if let Some(wait_ms) = facts.retry_after_ms {
             self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -188,14 +188,14 @@
             let reading = control.shared.reading(&service.name);
             let zones = by_zone(&directory, &service.name);
             // Turned away, they wait at no endpoint, and what is missing would never be ordered.
-            let away = control.shared.turned_away().count(&service.name, now_ms);
+            let away = control.shared.rejections().count(&service.name, now_ms);
             let waiting = away / zones.len().max(1) as u32;
             for (zone, endpoints) in zones {
                 let subject = Subject { service: service.name.clone(), zone };
                 let live = endpoints.len() as u32;
                 let before = ordered.count(&subject).unwrap_or(live);
                 let slots = endpoints.iter().map(|one| one.slots).max().unwrap_or(1);
-                let book = control.shared.book();
+                let book = control.shared.load_table();
                 let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
                 let seen = Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -46,8 +46,8 @@
         let now_ms = control.now_ms();
         let facts = facts(&control, now_ms);
         let outgoing = {
-            let mut book = control.shared.book();
-            let mut homes = control.shared.homes();
+            let mut book = control.shared.load_table();
+            let mut homes = control.shared.prefix_locations();
             let mut exchange = control.exchange.borrow_mut();
             exchange.tick(now_ms, &facts, is_news, &mut book, &mut homes)
         };
@@ -174,7 +174,7 @@
     match message {
         Message::State(state) => take_state(control, &state, now_ms),
         Message::Work(work) => {
-            control.exchange.borrow_mut().take_work(&work, &mut shared.book(), now_ms);
+            control.exchange.borrow_mut().take_work(&work, &mut shared.load_table(), now_ms);
         }
         Message::Roster(roster) => {
             let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
@@ -182,7 +182,7 @@
         }
         Message::Placed(placed) => {
             control.exchange.borrow_mut().pass_on(placed.leg, &placed.parts);
-            let mut homes = shared.homes();
+            let mut homes = shared.prefix_locations();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
         Message::Limits(limits) => control.take_limits(&limits, now_ms),
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -195,7 +195,7 @@
     let now_ms = control.now_ms();
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
         "parts" => memory.placed.len(), "starts" => memory.counts.len());
-    let mut homes = control.shared.homes();
+    let mut homes = control.shared.prefix_locations();
     memory.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
     control.shared.tally().take_saved(memory.counts);
 }
@@ -261,7 +261,7 @@
     let placed = match recall {
         Recall::Nothing => return None,
         Recall::Counts => Vec::new(),
-        Recall::All => control.shared.homes().latest(MAX_PLACED),
+        Recall::All => control.shared.prefix_locations().latest(MAX_PLACED),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
     Some(Memory { placed, counts })
--- a/src/gateway/fleet/recall.rs
+++ b/src/gateway/fleet/recall.rs
@@ -55,7 +55,7 @@
     let (large, small): (Vec<_>, Vec<_>) =
         parts.into_iter().partition(|part| part.tokens >= LEAST_TOLD_TOKENS);
     let now_ms = control.now_ms();
-    let mut homes = control.shared.homes();
+    let mut homes = control.shared.prefix_locations();
     homes.place(engine.key, &large, now_ms);
     homes.recall(engine.key, &small, now_ms);
 }
--- a/src/gateway/lines.rs
+++ b/src/gateway/lines.rs
@@ -111,7 +111,7 @@
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
             "version" => job.table.version(), "priority" => job.priority,
             "free_share" => choice.free_share, "first_ms" => choice.first_ms as u64,
-            "load_age_ms" => self.shared.book().age_ms(self.now_ms()));
+            "load_age_ms" => self.shared.load_table().age_ms(self.now_ms()));
     }
 
     pub(super) fn log_choice(&self, job: &Job, choice: &choose::Choice<'_>) {
@@ -123,7 +123,7 @@
             "attempt" => job.attempts, "cost_ms" => choice.cost_ms as u64,
             "first_ms" => choice.first_ms as u64, "unread_tokens" => choice.unread_tokens,
             "ahead_tokens" => choice.work.unread_tokens, "running" => choice.work.requests,
-            "load_age_ms" => self.shared.book().age_ms(self.now_ms()),
+            "load_age_ms" => self.shared.load_table().age_ms(self.now_ms()),
             "limit_per_s" => limit.map(limits::Rate::per_s),
             "left_ms" => job.left_ms(self.now_ms()));
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -97,7 +97,7 @@
         time::sleep(Duration::from_millis(SWEEP_MS)).await;
         let now_ms = gateway.now_ms();
         gateway.pool.borrow_mut().sweep(now_ms);
-        gateway.shared.book().sweep(now_ms);
+        gateway.shared.load_table().sweep(now_ms);
         gateway.budgets.borrow_mut().set(gateway.shared.retries().allowed());
         let snapshot = gateway.shared.snapshot.load();
         let is_known = |endpoint| snapshot.directory.find(endpoint).is_some();
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -175,7 +175,7 @@
                 )
             {
                 self.log_turned_away(job, &choice);
-                self.shared.turned_away().note(&job.service().name, now_ms);
+                self.shared.rejections().note(&job.service().name, now_ms);
                 return Err(self.given_up(job, error::Kind::TooLate));
             }
             if job.has_arrived && !self.may_retry(job) {
@@ -255,8 +255,8 @@
         let fresh = snapshot
             .accepting(&service.name, job.moving_key(), now_ms)
             .filter(|one| !job.tried.contains(&one.key) && eligibility.takes(one));
-        let book = self.shared.book();
-        let homes = self.shared.homes();
+        let book = self.shared.load_table();
+        let homes = self.shared.prefix_locations();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
         let known = choose::Known {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -80,11 +80,11 @@
     pub urgent_update: Notify,
     /// What the settings allow of retries; may change while the process runs.
     retries: Mutex<settings::Retries>,
-    book: Mutex<load::Book>,
-    turned_away: Mutex<load::TurnedAway>,
+    load_table: Mutex<load::Book>,
+    rejections: Mutex<load::TurnedAway>,
     limits: Mutex<limits::Limits>,
     departures: Mutex<departures::Departures>,
-    homes: Mutex<homes::Homes>,
+    prefix_locations: Mutex<homes::Homes>,
     tally: Mutex<tally::Tally>,
     /// When sends began whose requests may still be counted, on the boot clock.
     uncounted: Mutex<slab::Slab<u64>>,
@@ -114,11 +114,11 @@
             last_request_ms: AtomicU64::new(0),
             active: AtomicU32::new(0),
             gate: gate::Gate::default(),
-            book: Mutex::default(),
-            turned_away: Mutex::default(),
+            load_table: Mutex::default(),
+            rejections: Mutex::default(),
             limits: Mutex::default(),
             departures: Mutex::default(),
-            homes: Mutex::default(),
+            prefix_locations: Mutex::default(),
             tally: Mutex::default(),
             uncounted: Mutex::default(),
             readings: Mutex::default(),
@@ -126,13 +126,13 @@
     }
 
     /// Work under way at the endpoints.
-    pub fn book(&self) -> MutexGuard<'_, load::Book> {
-        lock(&self.book)
+    pub fn load_table(&self) -> MutexGuard<'_, load::Book> {
+        lock(&self.load_table)
     }
 
     /// Requests turned away lately.
-    pub fn turned_away(&self) -> MutexGuard<'_, load::TurnedAway> {
-        lock(&self.turned_away)
+    pub fn rejections(&self) -> MutexGuard<'_, load::TurnedAway> {
+        lock(&self.rejections)
     }
 
     /// What endpoints take at most.
@@ -146,8 +146,8 @@
     }
 
     /// Where prompt parts are.
-    pub fn homes(&self) -> MutexGuard<'_, homes::Homes> {
-        lock(&self.homes)
+    pub fn prefix_locations(&self) -> MutexGuard<'_, homes::Homes> {
+        lock(&self.prefix_locations)
     }
 
     /// What the settings allow of retries now.
