--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -185,7 +185,7 @@
             let Some(bounds) = service.scaling else {
                 continue;
             };
-            let reading = control.shared.reading(&service.name);
+            let reading = control.shared.engine_timing(&service.name);
             let zones = by_zone(&directory, &service.name);
             // Turned away, they wait at no endpoint, and what is missing would never be ordered.
             let away = control.shared.rejections().count(&service.name, now_ms);
--- a/src/gateway/events_body.rs
+++ b/src/gateway/events_body.rs
@@ -270,7 +270,7 @@
         };
         let took_ms = self.gateway.now_ms() - running.sent_ms;
         let service = &self.job.service().name;
-        self.gateway.shared.learn_reading(service, running.ticket.before_tokens(), took_ms);
+        self.gateway.shared.record_prefill(service, running.ticket.before_tokens(), took_ms);
     }
 
     fn note_lost(&mut self, error: &http1::Error) {
@@ -330,7 +330,7 @@
             let prompt = self.job.request.prompt.as_ref();
             let output_tokens = prompt.map_or(0, |prompt| prompt.max_output_tokens);
             let service = &self.job.service().name;
-            self.gateway.shared.learn_run(service, output_tokens, now_ms - first_ms);
+            self.gateway.shared.record_run(service, output_tokens, now_ms - first_ms);
         }
         measures::stream_ended(&self.job.service().name, "whole");
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -95,7 +95,8 @@
         if route.kind.is_stream() {
             let output_tokens =
                 request.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
-            let run_ms = self.shared.reading(&table.service(service).name).run_ms(output_tokens);
+            let run_ms =
+                self.shared.engine_timing(&table.service(service).name).run_ms(output_tokens);
             if self.shared.delays_stop(run_ms) {
                 return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
             }
@@ -270,7 +271,7 @@
             target_ms: f64::from(job.route().target_ms),
             patience_ms: job.stream_patience_ms() as f64,
             refused_zones: &job.refused_zones,
-            reading: &self.shared.reading(&service.name),
+            reading: &self.shared.engine_timing(&service.name),
         };
         choose::choose(
             fresh,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -89,7 +89,7 @@
     /// When sends began whose requests may still be counted, on the boot clock.
     uncounted: Mutex<slab::Slab<u64>>,
     /// How fast the engines of each service read.
-    readings: Mutex<HashMap<CompactString, reading::Reading>>,
+    engine_timings: Mutex<HashMap<CompactString, reading::Reading>>,
 }
 
 impl Shared {
@@ -121,7 +121,7 @@
             prefix_locations: Mutex::default(),
             tally: Mutex::default(),
             uncounted: Mutex::default(),
-            readings: Mutex::default(),
+            engine_timings: Mutex::default(),
         }
     }
 
@@ -162,18 +162,21 @@
 
     /// How fast the engines of a service read, as far as this entry has seen.
     #[must_use]
-    pub fn reading(&self, service: &str) -> reading::Reading {
-        lock(&self.readings).get(service).copied().unwrap_or_default()
+    pub fn engine_timing(&self, service: &str) -> reading::Reading {
+        lock(&self.engine_timings).get(service).copied().unwrap_or_default()
     }
 
     /// Learns from an answer: so many tokens were to be read before its first event.
-    pub fn learn_reading(&self, service: &CompactString, tokens: u64, took_ms: u64) {
-        lock(&self.readings).entry(service.clone()).or_default().learn(tokens, took_ms);
+    pub fn record_prefill(&self, service: &CompactString, tokens: u64, took_ms: u64) {
+        lock(&self.engine_timings).entry(service.clone()).or_default().learn(tokens, took_ms);
     }
 
     /// Learns from a stream that came to its end how long requests run.
-    pub fn learn_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
-        lock(&self.readings).entry(service.clone()).or_default().learn_run(output_tokens, ran_ms);
+    pub fn record_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
+        lock(&self.engine_timings)
+            .entry(service.clone())
+            .or_default()
+            .learn_run(output_tokens, ran_ms);
     }
 
     /// Length of a billing window.
