--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -184,7 +184,7 @@
     let control = Rc::new(Control {
         secret: seal::Secret::fleet(&shared.settings.fleet_secret),
         exchange: RefCell::new(open_exchange(&shared)),
-        outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.window_ms())),
+        outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.billing_window_ms())),
         settled: RefCell::default(),
         sharers: Cell::default(),
         platform: platform(),
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -149,7 +149,7 @@
     /// The next window that is over and not sealed.
     fn due<P>(&self, control: &Control<P>) -> Option<Sealed> {
         let (_, seals) = self.seals.as_ref()?;
-        let window_ms = control.shared.window_ms();
+        let window_ms = control.shared.billing_window_ms();
         let (now_ms, unix_ms) = (control.now_ms(), control.shared.time.unix_ms());
         let last = (unix_ms / window_ms).checked_sub(1)?;
         let tally = control.shared.tally();
@@ -161,7 +161,7 @@
         let end_ms = (window + 1) * window_ms;
         // Those that vanished since the window began may only be cut off, and are waited for as well.
         let since_ms = now_ms.saturating_sub(unix_ms.saturating_sub(window * window_ms));
-        let is_settled_here = control.shared.settled_ms() >= end_ms;
+        let is_settled_here = control.shared.counted_until_ms() >= end_ms;
         let exchange = control.exchange.borrow();
         let is_due = control.settled.borrow().may_seal(
             end_ms,
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -105,7 +105,7 @@
         (keepers, 1 + peers.live(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.parcels(&keepers, &own, shared.settled_ms()) {
+    for (addr, counts) in outbox.parcels(&keepers, &own, shared.counted_until_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -45,7 +45,7 @@
     /// It stands on its account's bill.
     pub(super) is_counted: bool,
     /// Held while a send may still turn out to have run.
-    pub(super) uncounted: Option<shared::Uncounted>,
+    pub(super) uncounted: Option<shared::PendingCount>,
     pub(super) _active: Active,
 }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -187,7 +187,7 @@
             let patience = job.patience(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
             if !job.kind.is_stream() && job.account.is_some() && !job.is_counted {
-                job.uncounted = Some(self.shared.begin_uncounted());
+                job.uncounted = Some(self.shared.begin_pending_count());
             }
             let failure = match self.attempt(job, &choice, patience).await {
                 Ok(running) => {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -87,7 +87,7 @@
     prefix_locations: Mutex<homes::Homes>,
     tally: Mutex<tally::Tally>,
     /// When sends began whose requests may still be counted, on the boot clock.
-    uncounted: Mutex<slab::Slab<u64>>,
+    pending_counts: Mutex<slab::Slab<u64>>,
     /// How fast the engines of each service read.
     engine_timings: Mutex<HashMap<CompactString, reading::Reading>>,
 }
@@ -120,7 +120,7 @@
             departures: Mutex::default(),
             prefix_locations: Mutex::default(),
             tally: Mutex::default(),
-            uncounted: Mutex::default(),
+            pending_counts: Mutex::default(),
             engine_timings: Mutex::default(),
         }
     }
@@ -181,24 +181,27 @@
 
     /// Length of a billing window.
     #[must_use]
-    pub fn window_ms(&self) -> u64 {
+    pub fn billing_window_ms(&self) -> u64 {
         self.settings.billing_window_s.max(1) * 1_000
     }
 
     /// The billing window of this long ago.
     fn window(&self, ago_ms: u64) -> u64 {
-        self.time.unix_ms().saturating_sub(ago_ms) / self.window_ms()
+        self.time.unix_ms().saturating_sub(ago_ms) / self.billing_window_ms()
     }
 
     /// Notes a send whose request will be counted as begun now, if it is.
-    pub fn begin_uncounted(self: &Arc<Self>) -> Uncounted {
-        Uncounted { key: lock(&self.uncounted).insert(clock::boot_ms()), shared: Arc::clone(self) }
+    pub fn begin_pending_count(self: &Arc<Self>) -> PendingCount {
+        PendingCount {
+            key: lock(&self.pending_counts).insert(clock::boot_ms()),
+            shared: Arc::clone(self),
+        }
     }
 
     /// The time of day before which everything that ran here is counted.
     #[must_use]
-    pub fn settled_ms(&self) -> u64 {
-        let uncounted = lock(&self.uncounted);
+    pub fn counted_until_ms(&self) -> u64 {
+        let uncounted = lock(&self.pending_counts);
         let (now_ms, unix_ms) = (clock::boot_ms(), self.time.unix_ms());
         let oldest_ms = uncounted.iter().map(|(_, began_ms)| *began_ms).min().unwrap_or(now_ms);
         unix_ms.saturating_sub(now_ms.saturating_sub(oldest_ms))
@@ -243,14 +246,14 @@
 
 /// A send whose request is not counted yet; dropped once it is, or did not run.
 #[derive(Debug)]
-pub struct Uncounted {
+pub struct PendingCount {
     shared: Arc<Shared>,
     key: usize,
 }
 
-impl Drop for Uncounted {
+impl Drop for PendingCount {
     fn drop(&mut self) {
-        lock(&self.shared.uncounted).remove(self.key);
+        lock(&self.shared.pending_counts).remove(self.key);
     }
 }
 
