--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -87,7 +87,7 @@
     }
 
     /// The balancer is told now.
-    pub fn leave(&mut self, now_ms: u64) {
+    pub fn mark_unready(&mut self, now_ms: u64) {
         self.begin_ms = now_ms;
         self.quiet_since_ms = now_ms;
     }
@@ -150,7 +150,7 @@
     let mut stop = Stop::begin(begin_ms, shared.settings.stop_s);
     slog::info!(log, "draining"; "limit_ms" => stop.ends.end_ms - begin_ms);
     stay(shared, begin_ms, log).await;
-    stop.leave(clock::boot_ms());
+    stop.mark_unready(clock::boot_ms());
     loop {
         let now_ms = clock::boot_ms();
         let active = shared.active.load(Ordering::Acquire);
