--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -338,7 +338,7 @@
             |cold: &directory::Cold| before.cold_until_ms(cold.endpoint, now_ms).is_none();
         for cold in directory.cold(now_ms).into_iter().filter(is_news) {
             let id = directory.find(cold.endpoint).map(|endpoint| endpoint.id.as_str());
-            slog::info!(self.log, "endpoint cold"; "endpoint" => id, "left_ms" => cold.left_ms,
+            slog::info!(self.log, "endpoint cold"; "endpoint" => id, "left_ms" => cold.remaining_ms,
                 "revision" => directory.revision(), "source" => source);
         }
         for old in before.endpoints().iter().filter(|old| directory.find(old.key).is_none()) {
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cold {
     pub endpoint: EndpointKey,
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// News of a cold endpoint that would end its time this much later come of their way through the store;
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lapsed {
     pub endpoint: EndpointKey,
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// All endpoints, with the revision of the store at which they last changed.
@@ -209,8 +209,11 @@
     #[must_use]
     pub fn cold(&self, now_ms: u64) -> Vec<Cold> {
         let cold = self.cold.iter().filter(|(_, until_ms)| now_ms < **until_ms);
-        cold.map(|(endpoint, until_ms)| Cold { endpoint: *endpoint, left_ms: until_ms - now_ms })
-            .collect()
+        cold.map(|(endpoint, until_ms)| Cold {
+            endpoint: *endpoint,
+            remaining_ms: until_ms - now_ms,
+        })
+        .collect()
     }
 
     /// Takes one change of the store. Gives whether anything changed.
@@ -251,7 +254,7 @@
     pub fn lapsed(&self, now_ms: u64) -> Vec<Lapsed> {
         let left = |(endpoint, until_ms): (&EndpointKey, &u64)| Lapsed {
             endpoint: *endpoint,
-            left_ms: until_ms.saturating_sub(now_ms),
+            remaining_ms: until_ms.saturating_sub(now_ms),
         };
         self.lapsed.iter().map(left).collect()
     }
@@ -263,8 +266,8 @@
             return false;
         }
         *self = other;
-        self.lapsed = lapsed.iter().map(|one| (one.endpoint, now_ms + one.left_ms)).collect();
-        self.cold = cold.iter().map(|one| (one.endpoint, now_ms + one.left_ms)).collect();
+        self.lapsed = lapsed.iter().map(|one| (one.endpoint, now_ms + one.remaining_ms)).collect();
+        self.cold = cold.iter().map(|one| (one.endpoint, now_ms + one.remaining_ms)).collect();
         true
     }
 
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -44,8 +44,8 @@
 }
 
 impl Leaving {
-    fn within(now_ms: u64, left_ms: u64) -> Self {
-        Self { begins_ms: now_ms, closes_ms: now_ms + left_ms }
+    fn within(now_ms: u64, remaining_ms: u64) -> Self {
+        Self { begins_ms: now_ms, closes_ms: now_ms + remaining_ms }
     }
 
     fn accepts(self, key: u64, now_ms: u64) -> bool {
@@ -60,7 +60,7 @@
     zone: CompactString,
     /// Since when requests leave it, and for how much longer.
     since_ms: u32,
-    left_ms: u32,
+    remaining_ms: u32,
 }
 
 /// The evacuated zones as other entries are told of them.
@@ -136,14 +136,14 @@
     }
 
     /// Takes what a watch brought, up to the store's revision. Gives whether it brought anything new. The
-    /// zones that it adds close after `left_ms`.
+    /// zones that it adds close after `remaining_ms`.
     ///
     /// A watch that goes on after an outage brings changes that another entry has told of already.
     pub fn apply_changes(
         &mut self,
         changes: impl Iterator<Item = Change>,
         revision: u64,
-        left_ms: u64,
+        remaining_ms: u64,
         now_ms: u64,
     ) -> bool {
         if revision <= self.revision {
@@ -153,7 +153,7 @@
         for change in changes {
             match change {
                 Change::Evacuated(zone) => {
-                    zones.entry(zone).or_insert(Leaving::within(now_ms, left_ms));
+                    zones.entry(zone).or_insert(Leaving::within(now_ms, remaining_ms));
                 }
                 Change::Restored(zone) => {
                     zones.remove(&zone);
@@ -174,7 +174,7 @@
         let told = |(zone, leaving): (&CompactString, &Leaving)| ZoneSnapshot {
             zone: zone.clone(),
             since_ms: short(now_ms.saturating_sub(leaving.begins_ms)),
-            left_ms: short(leaving.closes_ms.saturating_sub(now_ms)),
+            remaining_ms: short(leaving.closes_ms.saturating_sub(now_ms)),
         };
         Snapshot { revision: self.revision, zones: self.zones.iter().map(told).collect() }
     }
@@ -187,7 +187,7 @@
         let leaving = |one: &ZoneSnapshot| {
             let told = Leaving {
                 begins_ms: now_ms.saturating_sub(u64::from(one.since_ms)),
-                closes_ms: now_ms + u64::from(one.left_ms),
+                closes_ms: now_ms + u64::from(one.remaining_ms),
             };
             (one.zone.clone(), self.zones.get(&one.zone).copied().unwrap_or(told))
         };
