--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic thread of an entry share.
+//! State shared by the control thread and the traffic thread of an entry.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, AtomicUsize, Ordering};
@@ -13,10 +13,10 @@
 use super::{departures, directory, drain, evacuation, route, settings};
 use crate::clock;
 
-/// Configuration, endpoints and what may be sent to them at one moment.
+/// Immutable view of the configuration, the endpoints and the restrictions on sending to them.
 #[derive(Debug, Default)]
 pub struct Snapshot {
-    /// None until the first configuration is known.
+    /// `None` until the first configuration is loaded.
     pub table: Option<Arc<route::Table>>,
     pub directory: Arc<directory::Directory>,
     pub evacuations: evacuation::Evacuations,
@@ -24,7 +24,8 @@
 }
 
 impl Snapshot {
-    /// Endpoints of a service that take a new request; `key` as in [`evacuation::Evacuations::accepts`].
+    /// Returns the endpoints of a service that accept a new request. `key` has the same meaning as in
+    /// [`evacuation::Evacuations::accepts`].
     pub fn accepting<'a, 'b>(
         &'a self,
         service: &'b str,
@@ -35,7 +36,7 @@
         accepting.filter(move |endpoint| self.evacuations.accepts(&endpoint.zone, key, now_ms))
     }
 
-    /// Whether this start of an endpoint still takes new requests.
+    /// Returns whether this incarnation of an endpoint still accepts new requests.
     #[must_use]
     pub fn accepts(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let is_same = |known: &directory::Endpoint| {
@@ -46,39 +47,41 @@
     }
 }
 
-/// What the threads of an entry share.
+/// State shared by the threads of an entry.
 #[derive(Debug)]
 pub struct Shared {
     pub settings: settings::Gateway,
-    /// Tells this start of the entry from others.
+    /// Identifies this incarnation of the entry.
     pub boot: u64,
     pub time: &'static clock::TimeOfDay,
     pub snapshot: ArcSwap<Snapshot>,
     pub is_ready: AtomicBool,
     pub is_draining: AtomicBool,
-    /// A stop is under way, and new callers are still taken.
+    /// Set while the entry is stopping but still accepts new clients.
     pub accepts_while_draining: AtomicBool,
-    /// Set by a stop shortly before the process ends.
+    /// Set shortly before the process exits: no new request is admitted.
     pub is_admission_closed: AtomicBool,
-    /// When the stop was asked for, on the boot clock.
+    /// Start of the drain on the boot clock, moved forward while new clients are still accepted;
+    /// `u64::MAX` if the entry is not stopping.
     pub draining_since_ms: AtomicU64,
-    /// Entries heard of lately, this one among them.
+    /// Number of live entries, including this one.
     pub live_entries: AtomicUsize,
-    /// By how many entries the fixed part of the retry budget is divided.
+    /// Number of entries among which the fixed part of the retry budget is divided.
     pub retry_budget_divisor: AtomicUsize,
-    /// Another entry has all that was counted here.
+    /// Whether another entry has received all billing counts of this one.
     pub counts_delivered: AtomicBool,
-    /// Other entries heard of just now that are not stopping.
+    /// Number of other live entries that are not stopping.
     pub serving_peers: AtomicUsize,
-    /// When a caller's last request came, on the boot clock.
+    /// When the last client request arrived, on the boot clock.
     pub last_request_ms: AtomicU64,
-    /// Requests under way here.
+    /// Number of requests in flight in this entry.
     pub active: AtomicU32,
-    /// Turns prompts away while hardly any engine is free.
+    /// Admission control: rejects prompts while almost no engine capacity is free.
     pub gate: gate::Gate,
-    /// Wakes the control thread: the other entries have to know of a long prompt at once.
+    /// Wakes the control thread to send an update to the other entries at once, for example after a long
+    /// prompt was sent.
     pub urgent_update: Notify,
-    /// What the settings allow of retries; may change while the process runs.
+    /// Retry settings; they may be reloaded while the process runs.
     retries: Mutex<settings::Retries>,
     load_table: Mutex<load::Book>,
     rejections: Mutex<load::TurnedAway>,
@@ -86,9 +89,9 @@
     departures: Mutex<departures::Departures>,
     prefix_locations: Mutex<homes::Homes>,
     tally: Mutex<tally::Tally>,
-    /// When sends began whose requests may still be counted, on the boot clock.
+    /// Start times, on the boot clock, of sends whose requests may still be counted.
     pending_counts: Mutex<slab::Slab<u64>>,
-    /// How fast the engines of each service read.
+    /// Measured prefill speed and run times of the engines, by service.
     engine_timings: Mutex<HashMap<CompactString, reading::Reading>>,
 }
 
@@ -125,53 +128,53 @@
         }
     }
 
-    /// Work under way at the endpoints.
+    /// Locks the load table: work in flight by endpoint.
     pub fn load_table(&self) -> MutexGuard<'_, load::Book> {
         lock(&self.load_table)
     }
 
-    /// Requests turned away lately.
+    /// Locks the record of recently rejected requests.
     pub fn rejections(&self) -> MutexGuard<'_, load::TurnedAway> {
         lock(&self.rejections)
     }
 
-    /// What endpoints take at most.
+    /// Locks the rate limits that endpoints have announced.
     pub fn limits(&self) -> MutexGuard<'_, limits::Limits> {
         lock(&self.limits)
     }
 
-    /// Endpoints that leave, as they say themselves.
+    /// Locks the endpoints that have announced in their responses that they are leaving.
     pub fn departures(&self) -> MutexGuard<'_, departures::Departures> {
         lock(&self.departures)
     }
 
-    /// Where prompt parts are.
+    /// Locks the index of which endpoints hold which prompt parts in their prefix cache.
     pub fn prefix_locations(&self) -> MutexGuard<'_, homes::Homes> {
         lock(&self.prefix_locations)
     }
 
-    /// What the settings allow of retries now.
+    /// Locks the current retry settings.
     pub fn retries(&self) -> MutexGuard<'_, settings::Retries> {
         lock(&self.retries)
     }
 
-    /// Counts for billing.
+    /// Locks the billing counts.
     pub fn tally(&self) -> MutexGuard<'_, tally::Tally> {
         lock(&self.tally)
     }
 
-    /// How fast the engines of a service read, as far as this entry has seen.
+    /// Returns the prefill speed and run times of a service's engines, as measured by this entry.
     #[must_use]
     pub fn engine_timing(&self, service: &str) -> reading::Reading {
         lock(&self.engine_timings).get(service).copied().unwrap_or_default()
     }
 
-    /// Learns from an answer: so many tokens were to be read before its first event.
+    /// Records a response whose first event came after `took_ms`, with `tokens` to prefill before it.
     pub fn record_prefill(&self, service: &CompactString, tokens: u64, took_ms: u64) {
         lock(&self.engine_timings).entry(service.clone()).or_default().learn(tokens, took_ms);
     }
 
-    /// Learns from a stream that came to its end how long requests run.
+    /// Records the run time of a completed stream.
     pub fn record_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
         lock(&self.engine_timings)
             .entry(service.clone())
@@ -185,12 +188,12 @@
         self.settings.billing_window_s.max(1) * 1_000
     }
 
-    /// The billing window of this long ago.
+    /// Returns the billing window that contained the moment `ago_ms` before now.
     fn window(&self, ago_ms: u64) -> u64 {
         self.time.unix_ms().saturating_sub(ago_ms) / self.billing_window_ms()
     }
 
-    /// Notes a send whose request will be counted as begun now, if it is.
+    /// Registers a send that begins now and may later be counted for billing with this start time.
     pub fn begin_pending_count(self: &Arc<Self>) -> PendingCount {
         PendingCount {
             key: lock(&self.pending_counts).insert(clock::boot_ms()),
@@ -198,21 +201,21 @@
         }
     }
 
-    /// The time of day before which everything that ran here is counted.
+    /// Unix time in milliseconds before which every request that ran here has been counted.
     #[must_use]
     pub fn counted_until_ms(&self) -> u64 {
-        let uncounted = lock(&self.pending_counts);
+        let pending = lock(&self.pending_counts);
         let (now_ms, unix_ms) = (clock::boot_ms(), self.time.unix_ms());
-        let oldest_ms = uncounted.iter().map(|(_, began_ms)| *began_ms).min().unwrap_or(now_ms);
+        let oldest_ms = pending.iter().map(|(_, began_ms)| *began_ms).min().unwrap_or(now_ms);
         unix_ms.saturating_sub(now_ms.saturating_sub(oldest_ms))
     }
 
-    /// Counts a request that began to run this long ago.
+    /// Counts a request that began to run `ago_ms` before now.
     pub fn count(&self, account: &str, ago_ms: u64) {
         self.tally().add(self.boot, self.window(ago_ms), account);
     }
 
-    /// Forgets starts of entries that have counted nothing in any window that may be asked for.
+    /// Drops incarnations of entries that have no counts in any window that can still be reported.
     pub fn forget_old_counts(&self) {
         let first = self.window(0).saturating_sub(tally::KEPT_WINDOWS);
         self.tally().forget_before(first);
@@ -223,14 +226,14 @@
         self.is_draining.load(Ordering::Acquire)
     }
 
-    /// Whether a stream that is expected to run for this time would delay a stop that is under way.
+    /// Returns whether a stream that is expected to run for `run_ms` would delay a stop in progress.
     #[must_use]
     pub fn delays_stop(&self, run_ms: u64) -> bool {
         let since_ms = self.draining_since_ms.load(Ordering::Acquire);
         drain::delays_stop(since_ms, clock::boot_ms(), run_ms)
     }
 
-    /// Whether nothing new is begun any more: the process ends within a moment.
+    /// Returns whether no new request is admitted because the process is about to exit.
     #[must_use]
     pub fn is_admission_closed(&self) -> bool {
         self.is_admission_closed.load(Ordering::Acquire)
@@ -238,13 +241,14 @@
 
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let takes_callers =
+        let accepts_clients =
             !self.is_draining() || self.accepts_while_draining.load(Ordering::Acquire);
-        self.is_ready.load(Ordering::Acquire) && takes_callers
+        self.is_ready.load(Ordering::Acquire) && accepts_clients
     }
 }
 
-/// A send whose request is not counted yet; dropped once it is, or did not run.
+/// A send whose request is not counted yet. It is dropped once the request is counted or known not to
+/// have run.
 #[derive(Debug)]
 pub struct PendingCount {
     shared: Arc<Shared>,
@@ -257,8 +261,8 @@
     }
 }
 
-/// A panic while a lock was held has ended its thread and with it the process, so what a lock
-/// guards is never half changed.
+/// Locks a mutex and ignores poisoning: a panic while a lock is held ends the thread and with it the
+/// process, so guarded data is never observed half changed.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
