--- a/src/gateway/departures.rs
+++ b/src/gateway/departures.rs
@@ -1,8 +1,9 @@
-//! Endpoints that say in their answers that they leave. The store may learn of it later, or not at all, and goes
-//! on listing them as ready.
+//! Endpoints that have announced in a response that they are leaving. The store may learn of this later or
+//! never, and continues to list them as ready.
 //!
-//! Entries tell each other, so that one that was not answered by the endpoint itself sends nothing there
-//! either. A start of an endpoint never takes it back; another start under the same id is another endpoint.
+//! Entries forward the announcement to each other, so that an entry without a response from the endpoint
+//! also stops sending to it. An incarnation of an endpoint never revokes its departure; a new incarnation
+//! under the same id counts as a different endpoint.
 
 use std::collections::HashMap;
 
@@ -10,16 +11,17 @@
 
 use super::directory::{Endpoint, EndpointKey};
 
-/// How long peers are told: those that were cut off for a while still hear of it.
-const TOLD_MS: u64 = 10_000;
-/// How long it is remembered: far longer than a leaving endpoint serves, so that no old list brings it back.
-const REMEMBERED_MS: u64 = 600_000;
+/// How long a departure is sent to peers; long enough to reach peers that were cut off for a while.
+const GOSSIP_MS: u64 = 10_000;
+/// How long a departure is kept: far longer than a leaving endpoint goes on serving, so that no old list
+/// brings the endpoint back.
+const RETENTION_MS: u64 = 600_000;
 
-/// One start of an endpoint that leaves.
+/// The departure of one incarnation of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     pub endpoint: EndpointKey,
-    /// Tells the start from others under the same id, as [`Endpoint::started_unix_ms`].
+    /// Identifies the incarnation, as [`Endpoint::started_unix_ms`] does.
     pub started_unix_ms: u64,
 }
 
@@ -36,14 +38,15 @@
     since_ms: u64,
 }
 
-/// The departures that answers, and peers, have told of.
+/// Departures learned from responses and from peers.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
     known: HashMap<EndpointKey, Known>,
 }
 
 impl Departures {
-    /// Notes one. Gives whether it was not known. Of two starts of an endpoint the later one counts.
+    /// Records a departure and returns whether it is new. Of several incarnations of an endpoint only the
+    /// latest is kept.
     pub fn record(&mut self, departure: Departure, now_ms: u64) -> bool {
         let Departure { endpoint, started_unix_ms } = departure;
         let is_old = |known: &Known| started_unix_ms <= known.started_unix_ms;
@@ -54,28 +57,28 @@
         true
     }
 
-    /// Whether this start of an endpoint leaves.
+    /// Returns whether this incarnation of an endpoint is leaving.
     #[must_use]
     pub fn contains(&self, endpoint: &Endpoint) -> bool {
         let known = self.known.get(&endpoint.key);
         known.is_some_and(|known| known.started_unix_ms == endpoint.started_unix_ms)
     }
 
-    /// What the other entries are told.
+    /// Returns the departures to send to the other entries.
     #[must_use]
     pub fn recent(&self, now_ms: u64) -> Vec<Departure> {
-        let recent = self.known.iter().filter(|(_, known)| now_ms < known.since_ms + TOLD_MS);
-        let told = recent.map(|(endpoint, known)| Departure {
+        let recent = self.known.iter().filter(|(_, known)| now_ms < known.since_ms + GOSSIP_MS);
+        let departures = recent.map(|(endpoint, known)| Departure {
             endpoint: *endpoint,
             started_unix_ms: known.started_unix_ms,
         });
-        let mut told: Vec<Departure> = told.collect();
-        told.sort_unstable_by_key(|departure| departure.endpoint);
-        told
+        let mut departures: Vec<Departure> = departures.collect();
+        departures.sort_unstable_by_key(|departure| departure.endpoint);
+        departures
     }
 
-    /// Forgets what is of no matter any more.
+    /// Drops departures that are older than the retention time.
     pub fn sweep(&mut self, now_ms: u64) {
-        self.known.retain(|_, known| now_ms < known.since_ms + REMEMBERED_MS);
+        self.known.retain(|_, known| now_ms < known.since_ms + RETENTION_MS);
     }
 }
