--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -1,5 +1,5 @@
-//! Stopping an entry: the balancer is told first, then what is under way and what still comes on
-//! open connections is served, then the process ends.
+//! Graceful shutdown of an entry: it first becomes unready for the load balancer, then serves the requests
+//! in flight and those that still arrive on open connections, and then exits.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -10,112 +10,115 @@
 use crate::clock;
 
 const POLL: Duration = Duration::from_millis(20);
-/// The balancer asks once a second and turns away after two misses; a caller that it sent just
-/// before then still connects.
-const TURN_AWAY_MS: u64 = 2_600;
-/// A stopping entry goes on taking new callers for so long at most while few others do. The balancer
-/// takes two more seconds to notice, and a stopping entry has to be out of its rotation within four.
-const STAY_MS: u64 = 1_800;
-/// How long no request has been under way before the end: callers that keep a connection have been
-/// told with their last answer that it closes.
-const QUIET_MS: u64 = 600;
-/// What is kept of the time to the kill, to end by itself.
-const SPARE_MS: u64 = 200;
-/// Before that end nothing new is begun for so long: callers on open connections are told that their
-/// request did not run. Without it the end would cut a request that had just been sent on.
-const LAST_CALL_MS: u64 = 900;
-/// How long no request has been under way before the end, once nothing new is begun: a refusal has
-/// left by then.
-const REFUSED_MS: u64 = 100;
-
-/// When a stop that began at this time ends at the latest, and when nothing new is begun any more.
+/// How long the load balancer may still send new clients: it probes once a second and removes an entry
+/// after two failed probes, and a client that it sent just before that still connects.
+const DEREGISTRATION_MS: u64 = 2_600;
+/// Longest time for which a stopping entry accepts new clients while few other entries serve. The load
+/// balancer takes two more seconds to notice, and a stopping entry must be out of its rotation within
+/// four seconds.
+const MAX_ACCEPT_MS: u64 = 1_800;
+/// Idle time before the exit. Clients with an open connection have been told in their last response that
+/// it closes.
+const IDLE_MS: u64 = 600;
+/// Margin before the process is killed, within which it exits by itself.
+const EXIT_MARGIN_MS: u64 = 200;
+/// How long before the exit no new request is admitted; clients on open connections are told that their
+/// request did not run. Without this the exit would cut off a request that had just been forwarded.
+const CLOSED_ADMISSION_MS: u64 = 900;
+/// Idle time before the exit once admission is closed; long enough for a refusal to be sent.
+const CLOSED_IDLE_MS: u64 = 100;
+
+/// Deadlines of a stop: when admission closes and when the process exits.
 #[derive(Clone, Copy, Debug)]
-struct Ends {
-    last_call_ms: u64,
+struct Deadlines {
+    close_ms: u64,
     end_ms: u64,
 }
 
-impl Ends {
+impl Deadlines {
     fn of(since_ms: u64, stop_s: f64) -> Self {
-        let end_ms = since_ms.saturating_add((stop_s * 1_000.0) as u64).saturating_sub(SPARE_MS);
-        Self { last_call_ms: end_ms.saturating_sub(LAST_CALL_MS), end_ms }
+        let end_ms =
+            since_ms.saturating_add((stop_s * 1_000.0) as u64).saturating_sub(EXIT_MARGIN_MS);
+        Self { close_ms: end_ms.saturating_sub(CLOSED_ADMISSION_MS), end_ms }
     }
 }
 
-/// Whether a stream that begins now and runs for this time would delay a stop that began at `since_ms`.
+/// Returns whether a stream that begins now and runs for `run_ms` would delay a stop that began at
+/// `since_ms`.
 ///
-/// When entries are restarted one after the other, each of them waits for its longest stream. If that
-/// has only just begun, all are stopping at the same time and nobody is left to serve.
+/// In a rolling restart each entry waits for its longest stream. If long streams could begin during a stop,
+/// all entries would be stopping at the same time and none would serve.
 #[must_use]
 pub fn delays_stop(since_ms: u64, now_ms: u64, run_ms: u64) -> bool {
-    now_ms.saturating_add(run_ms) >= since_ms.saturating_add(TURN_AWAY_MS)
+    now_ms.saturating_add(run_ms) >= since_ms.saturating_add(DEREGISTRATION_MS)
 }
 
-/// Whether a stopping entry goes on taking new callers: `serving` of `others` do.
+/// Returns whether a stopping entry still accepts new clients, when `serving` of its `others` peers serve.
 ///
-/// When all entries are restarted one after the other, the last one would send all callers to the one
-/// that is just back; whatever happens to that one happens to everybody.
+/// Otherwise the last entry of a rolling restart would send all clients to the one entry that is back, and
+/// a fault of that entry would affect all of them.
 #[must_use]
 pub fn accepts_while_draining(since_ms: u64, now_ms: u64, serving: usize, others: usize) -> bool {
-    now_ms < since_ms.saturating_add(STAY_MS) && serving * 2 < others
+    now_ms < since_ms.saturating_add(MAX_ACCEPT_MS) && serving * 2 < others
 }
 
-/// What a stopping entry does now.
+/// Next action of a stopping entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Wait,
-    /// Begin nothing new, then go on asking.
+    /// Close admission, then continue to call [`Stop::step`].
     Close,
     End,
 }
 
-/// A stop under way. Pure.
+/// State machine of a stop in progress. It does no I/O and reads no clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Stop {
     begin_ms: u64,
-    ends: Ends,
-    quiet_since_ms: u64,
+    deadlines: Deadlines,
+    idle_since_ms: u64,
     is_closed: bool,
 }
 
 impl Stop {
-    /// A stop that was asked for now; the process is killed after `stop_s`.
+    /// Begins a stop that was requested now; the process is killed after `stop_s`.
     #[must_use]
     pub fn begin(now_ms: u64, stop_s: f64) -> Self {
-        let ends = Ends::of(now_ms, stop_s);
-        Self { begin_ms: now_ms, ends, quiet_since_ms: now_ms, is_closed: false }
+        let deadlines = Deadlines::of(now_ms, stop_s);
+        Self { begin_ms: now_ms, deadlines, idle_since_ms: now_ms, is_closed: false }
     }
 
-    /// The balancer is told now.
+    /// Notes that the entry reports itself unready to the load balancer from now on.
     pub fn mark_unready(&mut self, now_ms: u64) {
         self.begin_ms = now_ms;
-        self.quiet_since_ms = now_ms;
+        self.idle_since_ms = now_ms;
     }
 
-    /// What to do, with so many requests under way, the last one come at `last_request_ms`.
+    /// Returns the next action, with `active` requests in flight and the last one arrived at
+    /// `last_request_ms`.
     ///
-    /// The end is never decided while a request may still begin: one that came between the decision
-    /// and the process's end would be sent to an endpoint and cut.
+    /// Admission always closes before the exit is decided. A request admitted between that decision and the
+    /// exit would be sent to an endpoint and cut off.
     pub fn step(&mut self, now_ms: u64, active: u32, last_request_ms: u64) -> Step {
         if active > 0 {
-            self.quiet_since_ms = now_ms;
+            self.idle_since_ms = now_ms;
         }
-        let quiet_ms = now_ms.saturating_sub(self.quiet_since_ms.max(last_request_ms));
-        if now_ms >= self.ends.end_ms {
+        let idle_ms = now_ms.saturating_sub(self.idle_since_ms.max(last_request_ms));
+        if now_ms >= self.deadlines.end_ms {
             return Step::End;
         }
-        let is_quiet = quiet_ms >= QUIET_MS && now_ms - self.begin_ms >= TURN_AWAY_MS;
-        if !self.is_closed && (is_quiet || now_ms >= self.ends.last_call_ms) {
+        let is_idle = idle_ms >= IDLE_MS && now_ms - self.begin_ms >= DEREGISTRATION_MS;
+        if !self.is_closed && (is_idle || now_ms >= self.deadlines.close_ms) {
             self.is_closed = true;
-            self.quiet_since_ms = now_ms;
+            self.idle_since_ms = now_ms;
             return Step::Close;
         }
-        if self.is_closed && quiet_ms >= REFUSED_MS { Step::End } else { Step::Wait }
+        if self.is_closed && idle_ms >= CLOSED_IDLE_MS { Step::End } else { Step::Wait }
     }
 }
 
-/// Takes new callers for a while longer if hardly any other entry does.
-async fn stay(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
+/// Goes on accepting new clients for a limited time while fewer than half of the other entries serve.
+async fn accept_while_few_serve(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
     let others = shared.live_entries.load(Ordering::Relaxed).saturating_sub(1);
     let mut now_ms = begin_ms;
     while accepts_while_draining(
@@ -130,26 +133,26 @@
         shared.draining_since_ms.store(now_ms, Ordering::Release);
     }
     if shared.accepts_while_draining.swap(false, Ordering::AcqRel) {
-        slog::info!(log, "stayed while few others serve"; "took_ms" => now_ms - begin_ms,
-            "others" => others);
+        slog::info!(log, "accepted new clients while few other entries serve";
+            "took_ms" => now_ms - begin_ms, "others" => others);
     }
 }
 
-/// Waits until another entry has this one's counts: they would be on nobody's bill.
+/// Waits until another entry has received this one's billing counts; otherwise they would never be billed.
 async fn deliver_counts(shared: &shared::Shared, end_ms: u64) {
     while !shared.counts_delivered.load(Ordering::Acquire) && clock::boot_ms() < end_ms {
         time::sleep(POLL).await;
     }
 }
 
-/// Waits until the entry may end.
+/// Drains the entry and returns when the process may exit.
 pub async fn drain(shared: &shared::Shared, log: &slog::Logger) {
     let begin_ms = clock::boot_ms();
     shared.draining_since_ms.store(begin_ms, Ordering::Release);
     shared.is_draining.store(true, Ordering::Release);
     let mut stop = Stop::begin(begin_ms, shared.settings.stop_s);
-    slog::info!(log, "draining"; "limit_ms" => stop.ends.end_ms - begin_ms);
-    stay(shared, begin_ms, log).await;
+    slog::info!(log, "draining"; "limit_ms" => stop.deadlines.end_ms - begin_ms);
+    accept_while_few_serve(shared, begin_ms, log).await;
     stop.mark_unready(clock::boot_ms());
     loop {
         let now_ms = clock::boot_ms();
@@ -159,7 +162,7 @@
             Step::Wait => {}
             Step::Close => shared.is_admission_closed.store(true, Ordering::Release),
             Step::End => {
-                deliver_counts(shared, stop.ends.end_ms).await;
+                deliver_counts(shared, stop.deadlines.end_ms).await;
                 slog::info!(log, "drained"; "left" => active, "took_ms" => now_ms - begin_ms);
                 return;
             }
