--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -1,50 +1,51 @@
-//! Availability zones that the operators have evacuated: no new request goes to an endpoint there until
-//! they take the zone back. What is running there ends in peace.
+//! Availability zones that the operators have evacuated: no new request is sent to an endpoint there until
+//! the evacuation is revoked. Running requests complete.
 //!
-//! The load pattern: a third of the engines is to get nothing more, with all the documents that they hold.
-//! If all requests went elsewhere at once, the others would have to read all these documents in the same
-//! moment, and everybody would wait behind that reading. So the documents leave one after the other, each
-//! at the same time from all entries, within a part of the time that the operators allow.
+//! An evacuation withdraws, for example, a third of the engines together with the documents in their prefix
+//! caches. If all requests moved elsewhere at once, the remaining engines would prefill all these documents
+//! at the same time and all requests would queue behind that work. So documents move one after the other,
+//! each at the same time on all entries, within a fraction of the time that the operators allow.
 //!
-//! The set is known with the revision of the store at which it last changed, and travels whole. A newer
-//! set replaces an older one, so a zone that was taken back never returns from an entry that has missed
-//! it, and no tombstones are kept.
+//! The set carries the revision of the store at which it last changed and is always sent as a whole. A newer
+//! set replaces an older one, so an entry that missed the end of an evacuation cannot spread it again, and no
+//! tombstones are needed.
 
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Evacuated zones that are kept at most, far more than a deployment has: entries tell each other all of them
-/// in a datagram.
+/// Maximum number of evacuated zones that are kept, far more than a deployment has. Entries send all of them
+/// in one datagram.
 const MAX_ZONES: usize = 24;
-/// Part of the operators' time within which requests leave a zone. The rest covers the way of the news.
-const LEAVE_PART: f64 = 0.6;
+/// Fraction of the time allowed by the operators within which requests leave a zone. The rest covers the
+/// propagation delay.
+const LEAVE_FRACTION: f64 = 0.6;
 
-/// How long requests may take to leave a zone whose evacuation was asked for just now.
+/// Returns the time within which requests leave a zone whose evacuation was requested just now.
 #[must_use]
 pub fn leave_ms(allowed_ms: u64) -> u64 {
-    (allowed_ms as f64 * LEAVE_PART) as u64
+    (allowed_ms as f64 * LEAVE_FRACTION) as u64
 }
 
-/// One change in the store.
+/// A change to the set of evacuated zones in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Evacuated(CompactString),
     Restored(CompactString),
 }
 
-/// An evacuated zone.
+/// Period in which requests leave an evacuated zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Leaving {
-    /// When the first request stays away, on this entry's clock.
+struct Schedule {
+    /// When the first requests move away, on this entry's clock.
     begins_ms: u64,
-    /// From when on no request goes there.
+    /// From when on no request is sent to the zone.
     closes_ms: u64,
 }
 
-impl Leaving {
-    fn within(now_ms: u64, remaining_ms: u64) -> Self {
+impl Schedule {
+    fn starting_now(now_ms: u64, remaining_ms: u64) -> Self {
         Self { begins_ms: now_ms, closes_ms: now_ms + remaining_ms }
     }
 
@@ -54,43 +55,44 @@
     }
 }
 
-/// A zone as other entries are told of it.
+/// An evacuated zone as sent to other entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneSnapshot {
     zone: CompactString,
-    /// Since when requests leave it, and for how much longer.
+    /// Time since requests began to leave the zone.
     since_ms: u32,
+    /// Time until no request is sent to the zone.
     remaining_ms: u32,
 }
 
-/// The evacuated zones as other entries are told of them.
+/// The set of evacuated zones as sent to other entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub revision: u64,
     zones: Vec<ZoneSnapshot>,
 }
 
-/// The evacuated zones.
+/// The set of evacuated zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     revision: u64,
-    zones: BTreeMap<CompactString, Leaving>,
+    zones: BTreeMap<CompactString, Schedule>,
 }
 
 impl Evacuations {
-    /// Revision of the store at which the set last changed; zero: nothing is known yet.
+    /// Revision of the store at which the set last changed; zero if it is not known yet.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether the set was read, by this entry or another.
+    /// Returns whether the set has been read from the store, by this entry or another.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.revision > 0
     }
 
-    /// Whether a zone is evacuated, or about to be.
+    /// Returns whether a zone is evacuated or being evacuated.
     #[must_use]
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
@@ -100,20 +102,21 @@
         self.zones.keys()
     }
 
-    /// Whether requests with this key still go to a zone. They leave it in the order of their keys.
+    /// Returns whether requests with this key are still sent to a zone. The key, modulo the length of the
+    /// period, determines when they leave it.
     #[must_use]
     pub fn accepts(&self, zone: &str, key: u64, now_ms: u64) -> bool {
-        self.zones.get(zone).is_none_or(|leaving| leaving.accepts(key, now_ms))
+        self.zones.get(zone).is_none_or(|schedule| schedule.accepts(key, now_ms))
     }
 
-    /// Whether no request goes to a zone any more.
+    /// Returns whether a zone receives no more requests.
     #[must_use]
     pub fn is_closed(&self, zone: &str, now_ms: u64) -> bool {
-        self.zones.get(zone).is_some_and(|leaving| now_ms >= leaving.closes_ms)
+        self.zones.get(zone).is_some_and(|schedule| now_ms >= schedule.closes_ms)
     }
 
-    /// Takes a whole list of the store. Gives whether it brought anything new. Nobody knows for how long the
-    /// zones that it adds have been evacuated, so they close at once.
+    /// Applies a complete list from the store and returns whether it changed anything. A list does not say
+    /// since when its zones are evacuated, so zones that it adds close at once.
     pub fn replace(
         &mut self,
         listed: impl Iterator<Item = CompactString>,
@@ -124,9 +127,9 @@
             return false;
         }
         let known = |zone: &CompactString| self.zones.get(zone).copied();
-        let listed: BTreeMap<CompactString, Leaving> = listed
-            .map(|zone| (known(&zone).unwrap_or(Leaving::within(now_ms, 0)), zone))
-            .map(|(leaving, zone)| (zone, leaving))
+        let listed: BTreeMap<CompactString, Schedule> = listed
+            .map(|zone| (known(&zone).unwrap_or(Schedule::starting_now(now_ms, 0)), zone))
+            .map(|(schedule, zone)| (zone, schedule))
             .collect();
         if self.is_known() && listed == self.zones {
             return false;
@@ -135,10 +138,11 @@
         true
     }
 
-    /// Takes what a watch brought, up to the store's revision. Gives whether it brought anything new. The
-    /// zones that it adds close after `remaining_ms`.
+    /// Applies changes from a watch, up to `revision` of the store, and returns whether they changed
+    /// anything. Zones that they add close after `remaining_ms`.
     ///
-    /// A watch that goes on after an outage brings changes that another entry has told of already.
+    /// Older revisions are ignored: a watch that resumes after an outage delivers changes that this entry
+    /// has already received from another one.
     pub fn apply_changes(
         &mut self,
         changes: impl Iterator<Item = Change>,
@@ -153,7 +157,7 @@
         for change in changes {
             match change {
                 Change::Evacuated(zone) => {
-                    zones.entry(zone).or_insert(Leaving::within(now_ms, remaining_ms));
+                    zones.entry(zone).or_insert(Schedule::starting_now(now_ms, remaining_ms));
                 }
                 Change::Restored(zone) => {
                     zones.remove(&zone);
@@ -167,36 +171,37 @@
         is_changed
     }
 
-    /// What the other entries are told.
+    /// Returns the set in the form sent to other entries.
     #[must_use]
     pub fn snapshot(&self, now_ms: u64) -> Snapshot {
-        let short = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
-        let told = |(zone, leaving): (&CompactString, &Leaving)| ZoneSnapshot {
+        let saturate = |ms: u64| u32::try_from(ms).unwrap_or(u32::MAX);
+        let snapshot = |(zone, schedule): (&CompactString, &Schedule)| ZoneSnapshot {
             zone: zone.clone(),
-            since_ms: short(now_ms.saturating_sub(leaving.begins_ms)),
-            remaining_ms: short(leaving.closes_ms.saturating_sub(now_ms)),
+            since_ms: saturate(now_ms.saturating_sub(schedule.begins_ms)),
+            remaining_ms: saturate(schedule.closes_ms.saturating_sub(now_ms)),
         };
-        Snapshot { revision: self.revision, zones: self.zones.iter().map(told).collect() }
+        Snapshot { revision: self.revision, zones: self.zones.iter().map(snapshot).collect() }
     }
 
-    /// Takes another entry's set if it is newer. Gives whether it was.
+    /// Replaces this set with another entry's set if that is newer, and returns whether it was. Zones that
+    /// are already known keep their schedule.
     pub fn adopt(&mut self, other: &Snapshot, now_ms: u64) -> bool {
         if other.revision <= self.revision {
             return false;
         }
-        let leaving = |one: &ZoneSnapshot| {
-            let told = Leaving {
+        let schedule = |one: &ZoneSnapshot| {
+            let received = Schedule {
                 begins_ms: now_ms.saturating_sub(u64::from(one.since_ms)),
                 closes_ms: now_ms + u64::from(one.remaining_ms),
             };
-            (one.zone.clone(), self.zones.get(&one.zone).copied().unwrap_or(told))
+            (one.zone.clone(), self.zones.get(&one.zone).copied().unwrap_or(received))
         };
-        let zones = other.zones.iter().map(leaving).collect();
+        let zones = other.zones.iter().map(schedule).collect();
         self.set(zones, other.revision);
         true
     }
 
-    fn set(&mut self, zones: BTreeMap<CompactString, Leaving>, revision: u64) {
+    fn set(&mut self, zones: BTreeMap<CompactString, Schedule>, revision: u64) {
         self.zones = zones;
         while self.zones.len() > MAX_ZONES {
             self.zones.pop_last();
