--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -1,8 +1,9 @@
-//! The endpoints that may take requests, as the platform's store lists them.
+//! Directory of the endpoints that the platform's store lists.
 //!
-//! Entries lapse while the store is away although their endpoints live on; such entries come back
-//! soon after the store does. So what vanishes around the store's return is kept for a grace time,
-//! and taken out when it is still missing then. What says that it is leaving goes at once.
+//! During an outage of the store the records of live endpoints expire, and they reappear soon after the
+//! store is back. So an endpoint whose record disappears around the store's return is kept for a grace period
+//! and removed only if it is still missing then. An endpoint that has reported that it is leaving is removed
+//! at once.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3;
 
-/// Names an endpoint across all instances: a digest of its id.
+/// Identifies an endpoint across all instances: a digest of its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointKey([u8; 8]);
 
@@ -21,14 +22,14 @@
         Self(xxh3::xxh3_64(id.as_bytes()).to_le_bytes())
     }
 
-    /// Which of so many parts of a table the endpoint belongs to.
+    /// Returns the index of the partition, out of `parts`, to which the endpoint belongs.
     #[must_use]
     pub fn part_of(self, parts: u8) -> u8 {
         self.0[0] % parts.max(1)
     }
 }
 
-/// One endpoint.
+/// An endpoint as listed by the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Endpoint {
     pub key: EndpointKey,
@@ -36,59 +37,59 @@
     pub service: CompactString,
     pub addr: SocketAddr,
     pub zone: CompactString,
-    /// When this start of it began, on the platform's clock in Unix milliseconds: tells it from an earlier
-    /// one under the same id, whose memory is lost.
+    /// Start time of this incarnation on the platform's clock, in Unix milliseconds. It distinguishes the
+    /// incarnation from earlier ones under the same id, whose memory is lost.
     pub started_unix_ms: u64,
-    /// Requests that it works on at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// It serves what it has and takes nothing new.
+    /// It completes its running requests and accepts no new ones.
     pub is_leaving: bool,
 }
 
-/// One change in the store's list.
+/// A change in the store's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Present(Endpoint),
-    /// The entry is gone, or can't be read.
+    /// The record was removed or cannot be decoded. Holds the endpoint's id.
     Gone(CompactString),
 }
 
-/// A change with the store's revision at which it was made, where the store tells it.
+/// A change with the revision of the store at which it was made, if the store reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     pub change: Change,
     pub revision: u64,
-    /// For how long the endpoint stays cold.
+    /// Remaining time for which the endpoint is cold; zero if it is warm.
     pub cold_ms: u32,
 }
 
-/// An endpoint that is cold: it takes only few requests a second for a while.
+/// A cold endpoint: it accepts only a few requests per second while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cold {
     pub endpoint: EndpointKey,
     pub remaining_ms: u64,
 }
 
-/// News of a cold endpoint that would end its time this much later come of their way through the store;
-/// what is later means that it has turned cold once more.
-const COLD_LATE_MS: u64 = 400;
+/// Tolerance for the end of a cold period. An end that moves by up to this much is due to the delay through
+/// the store; a later end means that the endpoint has become cold again.
+const COLD_JITTER_MS: u64 = 400;
 
-/// An entry that has vanished around the store's return and is kept for a while.
+/// An endpoint whose record disappeared around the store's return and that is kept for a grace period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lapsed {
     pub endpoint: EndpointKey,
     pub remaining_ms: u64,
 }
 
-/// All endpoints, with the revision of the store at which they last changed.
+/// All endpoints, with the revision of the store at which the list last changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
     revision: u64,
     endpoints: Vec<Endpoint>,
-    /// Entries that vanished around the store's return, and when each is given up.
+    /// Endpoints whose record disappeared around the store's return, and the end of each one's grace period.
     #[serde(skip)]
     lapsed: HashMap<EndpointKey, u64>,
-    /// Endpoints that are cold, and until when.
+    /// Cold endpoints, and the end of each one's cold period.
     #[serde(skip)]
     cold: HashMap<EndpointKey, u64>,
 }
@@ -105,7 +106,7 @@
         &self.endpoints
     }
 
-    /// Endpoints of a service that take new requests.
+    /// Returns the endpoints of a service that accept new requests.
     pub fn accepting<'a, 'b>(
         &'a self,
         service: &'b str,
@@ -118,8 +119,8 @@
         self.endpoints.iter().find(|one| one.key == key)
     }
 
-    /// Takes a whole list of the store. `keep_until_ms`: what is missing from the list is kept until
-    /// then. Gives whether anything changed.
+    /// Applies a complete list from the store and returns whether anything changed. Endpoints that are
+    /// missing from the list are kept until `keep_until_ms`, if given.
     pub fn replace(
         &mut self,
         listed: Vec<Endpoint>,
@@ -141,12 +142,12 @@
         self.set(endpoints, revision)
     }
 
-    /// Takes what a watch brought, up to the store's revision. Gives whether anything changed.
+    /// Applies events from a watch, up to `revision` of the store, and returns whether anything changed.
     ///
-    /// A watch that goes on after an outage brings old changes first. What a peer's newer list has
-    /// told already is left out: an endpoint that is known to be gone would come back by its last
-    /// beat, and its removal behind that would look like a lapse. One that lapsed and came back would be
-    /// given up after its grace time, since its return is left out as old.
+    /// A watch that resumes after an outage delivers old events first. Events that a peer's newer list
+    /// already reflects are skipped. Otherwise the last heartbeat of an endpoint known to be gone would bring
+    /// it back, and the removal after it would look like an expired record. An endpoint whose record expired
+    /// and returned would be removed after its grace period, because its return is skipped as old.
     pub fn apply_events(
         &mut self,
         events: impl Iterator<Item = Event>,
@@ -158,7 +159,7 @@
         if revision <= known {
             return false;
         }
-        let events = newer(events.collect(), known);
+        let events = unseen(events.collect(), known);
         let mut is_changed = self.update_cold(&events, revision, now_ms);
         for event in events {
             is_changed |= self.apply(event.change, revision.max(known), keep_until_ms);
@@ -166,7 +167,7 @@
         is_changed
     }
 
-    /// Takes from the store how long endpoints stay cold. Gives whether any has turned cold.
+    /// Updates the cold periods from the store's events and returns whether any endpoint became cold.
     pub fn update_cold(&mut self, events: &[Event], revision: u64, now_ms: u64) -> bool {
         let mut is_changed = false;
         for event in events {
@@ -187,25 +188,25 @@
             self.cold.remove(&endpoint);
             return false;
         }
-        let is_known = known_ms.is_some_and(|known_ms| until_ms <= known_ms + COLD_LATE_MS);
+        let is_known = known_ms.is_some_and(|known_ms| until_ms <= known_ms + COLD_JITTER_MS);
         let until_ms = if is_known { known_ms.unwrap_or(until_ms).min(until_ms) } else { until_ms };
         self.cold.insert(endpoint, until_ms);
         !is_known
     }
 
-    /// Until when an endpoint is cold, if it is.
+    /// Returns the end of an endpoint's cold period, or `None` if it is not cold.
     #[must_use]
     pub fn cold_until_ms(&self, endpoint: EndpointKey, now_ms: u64) -> Option<u64> {
         self.cold.get(&endpoint).copied().filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// Whether any endpoint is cold.
+    /// Returns whether any endpoint is cold.
     #[must_use]
     pub fn has_cold(&self, now_ms: u64) -> bool {
         self.cold.values().any(|until_ms| now_ms < *until_ms)
     }
 
-    /// Endpoints that are cold, with the time left for each, for peers.
+    /// Returns the cold endpoints with their remaining time, to send to peers.
     #[must_use]
     pub fn cold(&self, now_ms: u64) -> Vec<Cold> {
         let cold = self.cold.iter().filter(|(_, until_ms)| now_ms < **until_ms);
@@ -216,7 +217,7 @@
         .collect()
     }
 
-    /// Takes one change of the store. Gives whether anything changed.
+    /// Applies one change from the store and returns whether anything changed.
     pub fn apply(&mut self, change: Change, revision: u64, keep_until_ms: Option<u64>) -> bool {
         let mut endpoints = self.endpoints.clone();
         match change {
@@ -239,7 +240,8 @@
         self.set(endpoints, revision)
     }
 
-    /// Takes out what has been missing for its whole grace time. Gives whether anything changed.
+    /// Removes endpoints whose grace period is over and returns whether there were any. Also drops expired
+    /// cold periods.
     pub fn expire(&mut self, now_ms: u64) -> bool {
         let before = self.endpoints.len();
         let lapsed = &mut self.lapsed;
@@ -249,18 +251,18 @@
         self.endpoints.len() != before
     }
 
-    /// Entries that have vanished and are still kept, with the time left for each, for peers.
+    /// Returns the endpoints in their grace period with the remaining time, to send to peers.
     #[must_use]
     pub fn lapsed(&self, now_ms: u64) -> Vec<Lapsed> {
-        let left = |(endpoint, until_ms): (&EndpointKey, &u64)| Lapsed {
+        let lapsed = |(endpoint, until_ms): (&EndpointKey, &u64)| Lapsed {
             endpoint: *endpoint,
             remaining_ms: until_ms.saturating_sub(now_ms),
         };
-        self.lapsed.iter().map(left).collect()
+        self.lapsed.iter().map(lapsed).collect()
     }
 
-    /// Takes a peer's directory if it is newer than this one. What the peer keeps for a grace time
-    /// is kept here for no longer.
+    /// Replaces this directory with a peer's directory if that is newer, and returns whether it was. Grace
+    /// periods end here when they end at the peer.
     pub fn adopt(&mut self, other: Self, lapsed: &[Lapsed], cold: &[Cold], now_ms: u64) -> bool {
         if other.revision <= self.revision {
             return false;
@@ -282,22 +284,22 @@
     }
 }
 
-/// The changes that a list as of revision `known` does not tell yet.
+/// Returns the events that a list as of revision `known` does not reflect yet.
 ///
-/// A removal bears the revision of the endpoint's last beat, so only a return behind it that the list tells
-/// shows that it is old as well.
-fn newer(events: Vec<Event>, known: u64) -> Vec<Event> {
+/// A removal carries the revision of the endpoint's last heartbeat, so its own revision does not show its
+/// age. It counts as old only if it is followed by a return of the endpoint that the list reflects.
+fn unseen(events: Vec<Event>, known: u64) -> Vec<Event> {
     let mut returned = HashSet::new();
-    let mut newer: Vec<Event> = Vec::with_capacity(events.len());
+    let mut unseen: Vec<Event> = Vec::with_capacity(events.len());
     for event in events.into_iter().rev() {
         match &event.change {
             Change::Present(endpoint) if event.revision <= known => {
                 returned.insert(endpoint.key);
             }
             Change::Gone(id) if returned.contains(&EndpointKey::of(id)) => {}
-            Change::Present(_) | Change::Gone(_) => newer.push(event),
+            Change::Present(_) | Change::Gone(_) => unseen.push(event),
         }
     }
-    newer.reverse();
-    newer
+    unseen.reverse();
+    unseen
 }
