--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -1,4 +1,4 @@
-//! Endpoints that say in their answers that they leave: which start it is, and who knows it how soon.
+//! Tests of endpoint departures: which incarnation they apply to, and how fast all entries learn of them.
 
 use briarwinch::gateway::departures::{Departure, Departures};
 use briarwinch::gateway::directory::Endpoint;
@@ -10,23 +10,24 @@
     Endpoint { started_unix_ms, ..endpoint("one") }
 }
 
-/// Guards against an old list, or a late peer, that brings a leaving endpoint back, and against one that
-/// keeps its next start out.
+/// Guards against an old list or a delayed peer that brings a leaving endpoint back, and against a departure
+/// that also excludes the endpoint's next incarnation.
 #[test]
-fn a_departure_holds_for_one_start_of_an_endpoint() {
+fn a_departure_applies_to_one_incarnation_of_an_endpoint() {
     let mut departures = Departures::default();
     assert!(departures.record(Departure::of(&started(5_000)), 100));
-    assert!(!departures.record(Departure::of(&started(5_000)), 200), "no news");
+    assert!(!departures.record(Departure::of(&started(5_000)), 200), "already known");
     assert!(departures.contains(&started(5_000)));
-    assert!(!departures.contains(&started(9_000)), "started anew");
+    assert!(!departures.contains(&started(9_000)), "a new incarnation");
     assert!(departures.record(Departure::of(&started(9_000)), 300));
-    assert!(!departures.record(Departure::of(&started(5_000)), 400), "an earlier start");
+    assert!(!departures.record(Departure::of(&started(5_000)), 400), "an earlier incarnation");
     assert!(departures.contains(&started(9_000)));
 }
 
-/// Guards against entries that send to a leaving endpoint until it has answered each of them.
+/// Guards against entries that go on sending to a leaving endpoint until each has received a response from
+/// it.
 #[test]
-fn a_departure_is_known_to_all_entries_within_half_a_second() {
+fn a_departure_reaches_all_entries_within_500_ms() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.run_ms(2_500);
@@ -34,7 +35,7 @@
         fleet.nodes[entries / 2].departures.record(Departure::of(&started(5_000)), now_ms);
         fleet.run_ms(500);
         let knows = |departures: &Departures| departures.contains(&started(5_000));
-        let behind = fleet.nodes.iter().filter(|node| !knows(&node.departures)).count();
-        assert_eq!(behind, 0, "of {entries} entries");
+        let missing = fleet.nodes.iter().filter(|node| !knows(&node.departures)).count();
+        assert_eq!(missing, 0, "of {entries} entries do not know the departure");
     }
 }
