--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -1,5 +1,5 @@
-//! The list of endpoints: what leaves goes at once, what lapsed with the store's outage is kept for
-//! a while, what is old never replaces what is newer.
+//! Tests of the endpoint directory: leaving endpoints are removed at once, endpoints whose records expired
+//! during an outage of the store are kept for a grace period, and old data never replaces newer data.
 
 use briarwinch::gateway::directory::{Change, Directory, Endpoint, EndpointKey, Event};
 
@@ -16,7 +16,7 @@
     }
 }
 
-fn taking(directory: &Directory) -> Vec<String> {
+fn accepting(directory: &Directory) -> Vec<String> {
     directory.accepting("engine").map(|one| one.id.to_string()).collect()
 }
 
@@ -27,38 +27,38 @@
 }
 
 #[test]
-fn leaving_endpoints_take_nothing_new() {
+fn leaving_endpoints_accept_no_new_requests() {
     let mut directory = listed();
     let leaving = Endpoint { is_leaving: true, ..endpoint("one") };
     assert!(directory.apply(Change::Present(leaving), 11, Some(99_000)));
-    assert_eq!(taking(&directory), ["two"]);
+    assert_eq!(accepting(&directory), ["two"]);
     assert!(directory.apply(Change::Gone("two".into()), 12, None));
-    assert!(taking(&directory).is_empty());
+    assert!(accepting(&directory).is_empty());
 }
 
-/// While the store is away, entries of living endpoints lapse; they are back soon after it is. An
-/// entry that took the first list at its word would turn users away although all endpoints live.
+/// Guards against requests that are refused although all endpoints are alive. Records of live endpoints
+/// expire during an outage of the store and reappear soon after it, so the first list may lack them.
 #[test]
-fn entries_that_lapsed_with_an_outage_are_kept_until_their_grace_time_is_over() {
+fn endpoints_that_expired_in_an_outage_are_kept_for_their_grace_period() {
     let mut directory = listed();
     directory.replace(vec![endpoint("two")], 20, Some(5_000));
-    assert_eq!(taking(&directory), ["one", "two"]);
+    assert_eq!(accepting(&directory), ["one", "two"]);
     assert!(!directory.expire(4_999));
     assert!(directory.expire(5_000));
-    assert_eq!(taking(&directory), ["two"]);
+    assert_eq!(accepting(&directory), ["two"]);
 }
 
 #[test]
-fn entries_that_come_back_in_time_stay() {
+fn endpoints_that_return_within_their_grace_period_stay() {
     let mut directory = listed();
     directory.apply(Change::Gone("one".into()), 20, Some(5_000));
     directory.apply(Change::Present(endpoint("one")), 21, Some(5_000));
     assert!(!directory.expire(9_000));
-    assert_eq!(taking(&directory), ["one", "two"]);
+    assert_eq!(accepting(&directory), ["one", "two"]);
 }
 
 #[test]
-fn endpoints_that_were_leaving_get_no_grace_time() {
+fn leaving_endpoints_get_no_grace_period() {
     let mut directory = listed();
     let leaving = Endpoint { is_leaving: true, ..endpoint("one") };
     directory.apply(Change::Present(leaving), 11, None);
@@ -74,41 +74,40 @@
     newer.apply(Change::Gone("one".into()), 15, None);
     assert!(directory.adopt(newer.clone(), &[], &[], 0));
     assert!(!newer.adopt(listed(), &[], &[], 0));
-    assert_eq!(taking(&directory), ["two"]);
+    assert_eq!(accepting(&directory), ["two"]);
 }
 
-/// An entry keeps a vanished endpoint for its grace time, and a peer pulls its list just then. A
-/// peer that knew nothing of the grace time would send requests to an endpoint that has left, for as
-/// long as the list does not change again.
+/// Guards against requests to an endpoint that is gone: a peer pulls the list while an endpoint is in its
+/// grace period and, without the grace period, would keep the endpoint until the list changes again.
 #[test]
-fn what_a_peer_keeps_for_a_while_is_kept_no_longer_by_who_pulls_it() {
+fn a_grace_period_ends_at_a_peer_that_pulled_the_list_as_well() {
     let mut keeping = listed();
     keeping.apply(Change::Gone("one".into()), 20, Some(5_000));
     keeping.apply(Change::Present(endpoint("three")), 21, Some(5_000));
     let lapsed = keeping.lapsed(4_000);
     let mut pulling = listed();
     assert!(pulling.adopt(keeping, &lapsed, &[], 70_000));
-    assert_eq!(taking(&pulling), ["one", "three", "two"]);
+    assert_eq!(accepting(&pulling), ["one", "three", "two"]);
     assert!(!pulling.expire(70_999));
     assert!(pulling.expire(71_000));
-    assert_eq!(taking(&pulling), ["three", "two"]);
+    assert_eq!(accepting(&pulling), ["three", "two"]);
 }
 
-/// The store turned an entry away for a while; from its peers it knows that an endpoint has left. Its
-/// watch goes on from before the outage and brings the endpoint's last beat and its removal. Taken as
-/// they come, the endpoint is back, its removal looks like a lapse, all peers are told so, and users'
-/// requests go to an endpoint that has left seconds ago.
+/// Guards against requests to an endpoint that left seconds ago. The store was unavailable to this entry for
+/// a while, and a peer has reported that the endpoint is gone. The watch resumes from before the outage and
+/// delivers the endpoint's last heartbeat and its removal. Applied as they come, they bring the endpoint
+/// back, its removal looks like an expired record, and the list goes to all peers.
 #[test]
-fn old_changes_after_an_outage_do_not_bring_back_what_peers_know_to_be_gone() {
+fn old_events_after_an_outage_do_not_bring_back_endpoints_that_peers_know_to_be_gone() {
     let mut directory = listed();
     let mut newer = listed();
     newer.apply(Change::Gone("one".into()), 187, None);
     assert!(directory.adopt(newer, &[], &[], 0));
-    let beat = Event { change: Change::Present(endpoint("one")), revision: 150, cold_ms: 0 };
+    let heartbeat = Event { change: Change::Present(endpoint("one")), revision: 150, cold_ms: 0 };
     let removal = Event { change: Change::Gone("one".into()), revision: 187, cold_ms: 0 };
-    let came = Event { change: Change::Present(endpoint("three")), revision: 200, cold_ms: 0 };
-    assert!(directory.apply_events([beat, removal, came].into_iter(), 212, Some(9_000), 0));
-    assert_eq!(taking(&directory), ["three", "two"]);
+    let new = Event { change: Change::Present(endpoint("three")), revision: 200, cold_ms: 0 };
+    assert!(directory.apply_events([heartbeat, removal, new].into_iter(), 212, Some(9_000), 0));
+    assert_eq!(accepting(&directory), ["three", "two"]);
     assert!(directory.lapsed(0).is_empty());
 }
 
@@ -120,34 +119,34 @@
     Event { change: Change::Present(endpoint(id)), revision, cold_ms: 0 }
 }
 
-/// Guards against living endpoints that an entry gives up for good, because its watch brings their lapse but not
-/// their return, which a peer's list has told already.
+/// Guards against live endpoints that an entry removes for good: its watch delivers the expiry of their
+/// records, but their return is skipped because a peer's list already reflects it.
 #[test]
-fn old_lapses_after_an_outage_do_not_take_out_what_peers_know_to_be_back() {
+fn old_expiries_after_an_outage_do_not_remove_endpoints_that_peers_know_to_be_back() {
     let mut directory = listed();
     let mut newer = listed();
     newer.apply(Change::Gone("two".into()), 70, None);
     assert!(directory.adopt(newer, &[], &[], 0));
-    // All of it is older than the peer's list.
+    // All events are older than the peer's list.
     directory.apply_events([gone("one", 12)].into_iter(), 64, Some(5_000), 0);
-    // Some of it is.
+    // Some events are older than the peer's list.
     let mixed = [gone("one", 12), present("one", 68), present("three", 72)];
     directory.apply_events(mixed.into_iter(), 72, Some(5_000), 0);
     assert!(directory.lapsed(0).is_empty());
     directory.expire(9_000);
-    assert_eq!(taking(&directory), ["one", "three"]);
+    assert_eq!(accepting(&directory), ["one", "three"]);
 }
 
-/// Guards against lapses that are taken for old ones: the endpoint would get requests for as long as its entry
-/// stays away.
+/// Guards against a new expiry that is mistaken for an old one: the endpoint would receive requests for as
+/// long as its record is missing.
 #[test]
-fn lapses_after_the_return_that_a_peer_knows_count() {
+fn an_expiry_after_a_return_that_a_peer_knows_is_applied() {
     let mut directory = listed();
     let mut newer = listed();
     newer.apply(Change::Gone("two".into()), 70, None);
     assert!(directory.adopt(newer, &[], &[], 0));
-    let lapse = [gone("one", 12), present("one", 68), gone("one", 68)];
-    directory.apply_events(lapse.into_iter(), 75, Some(5_000), 0);
+    let events = [gone("one", 12), present("one", 68), gone("one", 68)];
+    directory.apply_events(events.into_iter(), 75, Some(5_000), 0);
     assert!(directory.expire(9_000));
-    assert!(taking(&directory).is_empty());
+    assert!(accepting(&directory).is_empty());
 }
