--- a/tests/gateway/evacuations.rs
+++ b/tests/gateway/evacuations.rs
@@ -1,4 +1,5 @@
-//! Evacuated availability zones: known everywhere in a moment, left without a herd, taken back for good.
+//! Tests of zone evacuations: all entries learn of them quickly, requests leave the zone gradually, and a
+//! revoked evacuation does not come back.
 
 use briarwinch::gateway::evacuation::{self, Change, Evacuations};
 use rand::rngs::StdRng;
@@ -30,9 +31,10 @@
     evacuations
 }
 
-/// Guards against a zone that stays empty for good: an entry that missed its return tells its old set.
+/// Guards against a zone that stays empty for good because an entry that missed the end of its evacuation
+/// spreads its old set.
 #[test]
-fn a_zone_that_was_taken_back_never_returns_from_an_entry_that_missed_it() {
+fn an_ended_evacuation_is_not_spread_again_by_an_entry_that_missed_its_end() {
     let mut behind = listed(&["a"], 10);
     let mut ahead = behind.clone();
     assert!(ahead.apply_changes([Change::Restored("a".into())].into_iter(), 14, 0, NOW_MS));
@@ -42,8 +44,8 @@
     assert!(!behind.contains("a"));
 }
 
-/// Guards against a watch that goes on from before an outage and brings what others told meanwhile to have
-/// ended.
+/// Guards against a watch that resumes from before an outage and delivers evacuations whose end was already
+/// received from other entries.
 #[test]
 fn old_changes_after_an_outage_evacuate_nothing() {
     let mut evacuations = listed(&[], 10);
@@ -53,9 +55,9 @@
     assert!(!evacuations.contains("a"));
 }
 
-/// Guards against a list that was asked for before a change and arrives behind it.
+/// Guards against a list that was requested before a change and arrives after it.
 #[test]
-fn a_list_that_is_older_than_what_is_known_changes_nothing() {
+fn a_list_older_than_the_known_set_changes_nothing() {
     let mut evacuations = listed(&["a", "b"], 20);
     assert!(!evacuations.replace([].into_iter(), 19, NOW_MS));
     assert!(evacuations.contains("a"));
@@ -63,14 +65,14 @@
     assert!(!evacuations.contains("a") && evacuations.contains("b"));
 }
 
-/// Guards against requests that go to an evacuated zone for as long as some entry has not heard of it.
+/// Guards against requests to an evacuated zone from entries that have not learned of the evacuation yet.
 #[test]
-fn an_evacuation_is_known_everywhere_within_a_second_at_any_size() {
+fn an_evacuation_reaches_all_entries_within_a_second_at_any_fleet_size() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.settles_within_ms(1_500);
         fleet.run_ms(1_000);
-        // One reader has it from the store, and it is not the one that aggregates its zone.
+        // One reader has the evacuation from the store, and it is not the aggregator of its zone.
         let reader = entries - 1;
         fleet.nodes[reader].evacuations = evacuated("a", 10, LEAVE_MS);
         fleet.nodes[reader].has_news = true;
@@ -79,14 +81,14 @@
             assert!(fleet.now_ms < begin_ms + 1_000, "{entries} entries");
             fleet.step();
         }
-        println!("{entries} entries know of it after {} ms", fleet.now_ms - begin_ms);
+        println!("{entries} entries know the evacuation after {} ms", fleet.now_ms - begin_ms);
     }
 }
 
-/// Guards against an entry that starts while the store is away and sends to a zone that the others know to be
-/// evacuated.
+/// Guards against an entry that starts while the store is unavailable and sends to a zone that the other
+/// entries know to be evacuated.
 #[test]
-fn an_entry_that_starts_hears_of_an_evacuation_from_the_others() {
+fn a_starting_entry_learns_of_an_evacuation_from_the_other_entries() {
     let mut fleet = Fleet::open(22, 3, 0.02);
     fleet.settles_within_ms(1_500);
     for node in &mut fleet.nodes {
@@ -97,12 +99,13 @@
     assert!(fleet.nodes[22].evacuations.is_closed("a", fleet.now_ms));
 }
 
-/// Guards against a herd: all documents of a zone read again elsewhere in the moment of its evacuation.
+/// Guards against a thundering herd: all documents of a zone are prefilled again elsewhere in the moment of
+/// its evacuation.
 #[test]
-fn documents_leave_a_zone_one_after_the_other_and_at_the_same_time_for_all() {
+fn documents_leave_a_zone_gradually_and_at_the_same_time_on_all_entries() {
     let near = evacuated("a", 10, LEAVE_MS);
     let mut far = listed(&[], 1);
-    // Told 200 ms later, on a clock of its own.
+    // The other entry receives the set 200 ms later and has a different clock.
     assert!(far.adopt(&near.snapshot(NOW_MS + 200), 70_200));
     let mut random = StdRng::seed_from_u64(7);
     let documents: Vec<u64> = (0..2_000).map(|_| random.random()).collect();
@@ -124,18 +127,19 @@
     assert!(near.is_closed("a", NOW_MS + LEAVE_MS) && !near.is_closed("a", NOW_MS + LEAVE_MS - 1));
 }
 
-/// Guards against a zone that is left slowly although it was evacuated long ago: who lists it cannot know.
+/// Guards against requests that leave a zone slowly although it was evacuated long ago: a list does not say
+/// when the evacuation began.
 #[test]
-fn a_zone_that_is_found_evacuated_closes_at_once() {
+fn a_zone_that_is_listed_as_evacuated_closes_at_once() {
     let evacuations = listed(&["a"], 10);
     assert!(evacuations.is_closed("a", NOW_MS));
     assert!(!evacuations.accepts("a", u64::MAX, NOW_MS));
     assert!(evacuations.accepts("b", 0, NOW_MS));
 }
 
-/// Guards against a time that begins anew with each entry that passes the news on.
+/// Guards against a period that restarts with each entry that forwards the set.
 #[test]
-fn news_that_go_round_do_not_prolong_an_evacuation() {
+fn forwarding_the_set_does_not_prolong_the_period_in_which_requests_leave() {
     let mut first = evacuated("a", 10, LEAVE_MS);
     let mut second = listed(&[], 1);
     second.adopt(&first.snapshot(NOW_MS + 1_000), NOW_MS + 1_100);
@@ -143,5 +147,5 @@
     first.adopt(&back, NOW_MS + 2_100);
     assert!(first.is_closed("a", NOW_MS + LEAVE_MS));
     assert!(second.is_closed("a", NOW_MS + LEAVE_MS + 100));
-    assert!(evacuation::leave_ms(5_000) + 1_500 < 5_000, "the way of the news takes some time");
+    assert!(evacuation::leave_ms(5_000) + 1_500 < 5_000, "the rest covers the propagation delay");
 }
