--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 use tokio::{task, time};
 
-use super::duties::{billing, delivery, duty, scaling, tally};
+use super::duties::{billing, delivery, election, scaling, tally};
 use super::fleet::{datagrams, exchange, members, peers, pulls, recall};
 use super::policy::budget;
 use super::{directory, evacuation, request, route, shared, watch};
@@ -215,7 +215,7 @@
     task::spawn_local(pulls::serve(Rc::clone(&control), listener));
     task::spawn_local(datagrams::receive(Rc::clone(&control)));
     task::spawn_local(members::enrol(Rc::clone(&control)));
-    task::spawn_local(duty::contend(Rc::clone(&control)));
+    task::spawn_local(election::contend(Rc::clone(&control)));
     datagrams::tell(control).await;
     Ok(())
 }
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::control::{Control, Holder, Platform};
-use crate::gateway::duties::duty;
+use crate::gateway::duties::election;
 use crate::gateway::fleet::pulls;
 use crate::lease;
 use crate::store::Condition;
@@ -70,42 +70,42 @@
         &mut self,
         control: &Control<P>,
         contender: &lease::Contender,
-    ) -> duty::Tick {
+    ) -> election::Tick {
         let now_ms = control.now_ms();
         let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         };
         self.since_ms.get_or_insert(now_ms);
         if now_ms < self.retry_ms {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         }
         let is_read = (self.saved.is_some() || self.load(control).await)
             && (self.seals.is_some() || self.read(control).await);
         if !is_read {
             self.retry_ms = now_ms + RETRY_MS;
-            return duty::Tick::Done;
+            return election::Tick::Done;
         }
         if !self.has_gathered {
             self.has_gathered = true;
             let peers = control.exchange.borrow().peers.strongest(KEEPERS, now_ms);
             pulls::gather_counts(control, &peers).await;
-            return duty::Tick::Done;
+            return election::Tick::Done;
         }
         self.save(control).await;
         if let Some(sealed) = self.due(control) {
             self.seal(control, sealed).await;
-            return duty::Tick::Again;
+            return election::Tick::Again;
         }
         let Some((_, seals)) = &self.seals else {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         };
         let next = seals.iter().find(|sealed| !self.reported.contains(&sealed.window)).cloned();
         let Some(sealed) = next else {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         };
         let holder = Holder { id: control.shared.settings.id.clone(), fence };
         self.report(control, &holder, &sealed).await;
-        duty::Tick::Again
+        election::Tick::Again
     }
 
     async fn report<P: Platform>(
--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/duties/mod.rs
@@ -2,6 +2,6 @@
 
 pub mod billing;
 pub mod delivery;
-pub mod duty;
+pub mod election;
 pub mod scaling;
 pub mod tally;
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::control::{Control, Holder, Platform};
-use crate::gateway::duties::duty;
+use crate::gateway::duties::election;
 use crate::gateway::policy::{load, reading};
 use crate::gateway::{directory, route};
 use crate::scaling::{Plan, Planner, Seen};
@@ -88,20 +88,20 @@
         &mut self,
         control: &Control<P>,
         contender: &lease::Contender,
-    ) -> duty::Tick {
+    ) -> election::Tick {
         let now_ms = control.now_ms();
         let Some(table) = control.shared.snapshot.load().table.clone() else {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         };
         if now_ms < self.next_ms || table.services().iter().all(|one| one.scaling.is_none()) {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         }
         let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         };
         self.next_ms = now_ms + PLAN_MS;
         if self.ordered.is_none() && !self.read(control).await {
-            return duty::Tick::Done;
+            return election::Tick::Done;
         }
         let open = self.ordered.as_ref().and_then(|ordered| {
             let subject = ordered.open.first()?;
@@ -111,11 +111,11 @@
             Some(order) => {
                 let holder = Holder { id: control.shared.settings.id.clone(), fence };
                 self.order(control, &holder, order).await;
-                duty::Tick::Again
+                election::Tick::Again
             }
             None => {
                 self.plan(control, &table).await;
-                duty::Tick::Done
+                election::Tick::Done
             }
         }
     }
