--- a/src/gateway/duties/delivery.rs
+++ b/src/gateway/duties/delivery.rs
@@ -13,15 +13,15 @@
 
 use crate::gateway::duties::tally;
 
-/// Counts in a parcel, at most.
+/// Counts in a batch, at most.
 pub const MAX_COUNTED: usize = 55;
-/// Bytes of a parcel's counts, at most; with what goes with them they fit a datagram.
+/// Bytes of a batch's counts, at most; with what goes with them they fit a datagram.
 const MAX_BYTES: usize = 1_100;
 /// Windows whose counts are delivered.
 const DELIVERED_WINDOWS: usize = 4;
 /// Starts of entries that are remembered before old ones are dropped.
 const MAX_STARTS: usize = 4_096;
-/// Parcels without a receipt that are remembered.
+/// Parcels without a ack that are remembered.
 const MAX_OPEN: usize = 16;
 /// A window is not sealed sooner: clocks differ a little.
 const LEAST_MS: u64 = 100;
@@ -33,7 +33,7 @@
 
 /// Counts on their way to one who keeps them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parcel {
+pub struct CountBatch {
     /// The start of the entry that has counted.
     pub boot: u64,
     pub number: u32,
@@ -44,9 +44,9 @@
     pub settled_ms: Option<u64>,
 }
 
-/// A parcel has come.
+/// A batch has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Receipt {
+pub struct CountAck {
     /// The start of the entry that sent it.
     pub boot: u64,
     pub number: u32,
@@ -58,7 +58,7 @@
     start: Option<u64>,
     taken: tally::Counts,
     settled_ms: u64,
-    open: VecDeque<Parcel>,
+    open: VecDeque<CountBatch>,
 }
 
 /// An entry's counts on their way.
@@ -77,15 +77,15 @@
     }
 
     /// What to send to each keeper now. `settled_ms`: everything that ran before is in `own`.
-    pub fn parcels(
+    pub fn batches(
         &mut self,
         keepers: &[SocketAddr],
         own: &tally::Counts,
         settled_ms: u64,
-    ) -> Vec<(SocketAddr, Parcel)> {
+    ) -> Vec<(SocketAddr, CountBatch)> {
         self.keepers.retain(|addr, _| keepers.contains(addr));
         let own = own.newest(DELIVERED_WINDOWS);
-        let mut parcels = Vec::new();
+        let mut batches = Vec::new();
         for addr in keepers {
             let keeper = self.keepers.entry(*addr).or_default();
             let left = own.beyond(&keeper.taken);
@@ -100,7 +100,7 @@
             let is_all = pieces.len() == 1;
             for counts in pieces {
                 self.number = self.number.wrapping_add(1);
-                let parcel = Parcel {
+                let batch = CountBatch {
                     boot: self.boot,
                     number: self.number,
                     keeper: keeper.start,
@@ -110,16 +110,16 @@
                 if keeper.open.len() >= MAX_OPEN {
                     keeper.open.pop_front();
                 }
-                keeper.open.push_back(parcel.clone());
-                parcels.push((*addr, parcel));
+                keeper.open.push_back(batch.clone());
+                batches.push((*addr, batch));
             }
         }
-        parcels
+        batches
     }
 
-    /// A keeper has taken a parcel.
-    pub fn take(&mut self, from: SocketAddr, start: u64, receipt: Receipt) {
-        let Some(keeper) = self.keepers.get_mut(&from).filter(|_| receipt.boot == self.boot) else {
+    /// A keeper has taken a batch.
+    pub fn acknowledge(&mut self, from: SocketAddr, start: u64, ack: CountAck) {
+        let Some(keeper) = self.keepers.get_mut(&from).filter(|_| ack.boot == self.boot) else {
             return;
         };
         if keeper.start != Some(start) {
@@ -127,13 +127,13 @@
             *keeper = Keeper { start: Some(start), ..Keeper::default() };
             return;
         }
-        let at = keeper.open.iter().position(|parcel| parcel.number == receipt.number);
-        let Some(parcel) = at.and_then(|at| keeper.open.remove(at)) else {
+        let at = keeper.open.iter().position(|batch| batch.number == ack.number);
+        let Some(batch) = at.and_then(|at| keeper.open.remove(at)) else {
             return;
         };
-        if parcel.keeper == Some(start) {
-            keeper.taken.merge(&parcel.counts);
-            keeper.settled_ms = keeper.settled_ms.max(parcel.settled_ms.unwrap_or(0));
+        if batch.keeper == Some(start) {
+            keeper.taken.merge(&batch.counts);
+            keeper.settled_ms = keeper.settled_ms.max(batch.settled_ms.unwrap_or(0));
         }
     }
 
@@ -153,16 +153,16 @@
 }
 
 impl Settled {
-    /// Takes a parcel that has come to this start of the keeper, and gives its receipt.
-    pub fn take(&mut self, parcel: &Parcel, own_boot: u64) -> Receipt {
-        if let Some(settled_ms) = parcel.settled_ms.filter(|_| parcel.keeper == Some(own_boot)) {
+    /// Takes a batch that has come to this start of the keeper, and gives its ack.
+    pub fn take(&mut self, batch: &CountBatch, own_boot: u64) -> CountAck {
+        if let Some(settled_ms) = batch.settled_ms.filter(|_| batch.keeper == Some(own_boot)) {
             if self.until_ms.len() >= MAX_STARTS {
                 self.until_ms.retain(|_, until_ms| *until_ms + LATEST_MS >= settled_ms);
             }
-            let until_ms = self.until_ms.entry(parcel.boot).or_default();
+            let until_ms = self.until_ms.entry(batch.boot).or_default();
             *until_ms = settled_ms.max(*until_ms);
         }
-        Receipt { boot: parcel.boot, number: parcel.number }
+        CountAck { boot: batch.boot, number: batch.number }
     }
 
     /// Whether a window that ended then may be sealed now by one who has billed for `held_ms`, after these
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -105,7 +105,7 @@
         (keepers, 1 + peers.live(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.parcels(&keepers, &own, shared.settled_ms()) {
+    for (addr, counts) in outbox.batches(&keepers, &own, shared.settled_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
@@ -198,7 +198,7 @@
             send_all(control, vec![Outgoing { to: vec![from], message }]);
         }
         Message::CountsTaken { from, keeper, receipt } => {
-            control.outbox.borrow_mut().take(from, keeper, receipt);
+            control.outbox.borrow_mut().acknowledge(from, keeper, receipt);
         }
     }
 }
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -96,13 +96,13 @@
     /// What one start of an entry has counted.
     Counts {
         from: SocketAddr,
-        counts: delivery::Parcel,
+        counts: delivery::CountBatch,
     },
     /// Counts have come to this start of an entry.
     CountsTaken {
         from: SocketAddr,
         keeper: u64,
-        receipt: delivery::Receipt,
+        receipt: delivery::CountAck,
     },
 }
 
--- a/tests/gateway/billing.rs
+++ b/tests/gateway/billing.rs
@@ -70,10 +70,10 @@
     let mut own = Tally::default();
     let mut outbox = Outbox::new(1, WINDOW_MS);
     let mut deliver = |own: &Tally, kept: &mut Tally, settled: &mut Settled, start: u64| {
-        for (_, parcel) in outbox.parcels(&[keeper], &own.newest_of(1, 6), end_ms + 1) {
+        for (_, parcel) in outbox.batches(&[keeper], &own.newest_of(1, 6), end_ms + 1) {
             kept.take(parcel.boot, &parcel.counts);
             let receipt = settled.take(&parcel, start);
-            outbox.take(keeper, start, receipt);
+            outbox.acknowledge(keeper, start, receipt);
         }
     };
     let may_seal =
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -255,7 +255,7 @@
                 out.push(Outgoing { to: vec![from], message });
             }
             Message::CountsTaken { from, keeper, receipt } => {
-                node.outbox.take(from, keeper, receipt);
+                node.outbox.acknowledge(from, keeper, receipt);
             }
         }
         self.send(index, out);
@@ -383,7 +383,7 @@
     keepers.dedup();
     keepers.truncate(2);
     let own = node.tally.newest_of(node.boot, 6);
-    let parcels = node.outbox.parcels(&keepers, &own, now_ms);
+    let parcels = node.outbox.batches(&keepers, &own, now_ms);
     let message = |counts| Message::Counts { from: node.addr, counts };
     parcels
         .into_iter()
