--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -119,7 +119,7 @@
     /// This entry's counts on their way to those who bill.
     pub(super) outbox: RefCell<delivery::Outbox>,
     /// Up to when the other entries have counted.
-    pub(super) settled: RefCell<delivery::Settled>,
+    pub(super) watermarks: RefCell<delivery::Watermarks>,
     pub(super) sharers: Cell<budget::Sharers>,
     pub(super) socket: UdpSocket,
     /// This entry holds the duties.
@@ -185,7 +185,7 @@
         secret: seal::Secret::fleet(&shared.settings.fleet_secret),
         exchange: RefCell::new(open_exchange(&shared)),
         outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.window_ms())),
-        settled: RefCell::default(),
+        watermarks: RefCell::default(),
         sharers: Cell::default(),
         platform: platform(),
         table: RefCell::default(),
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -163,7 +163,7 @@
         let since_ms = now_ms.saturating_sub(unix_ms.saturating_sub(window * window_ms));
         let is_settled_here = control.shared.settled_ms() >= end_ms;
         let exchange = control.exchange.borrow();
-        let is_due = control.settled.borrow().may_seal(
+        let is_due = control.watermarks.borrow().may_seal(
             end_ms,
             unix_ms,
             now_ms.saturating_sub(self.since_ms.unwrap_or(now_ms)),
--- a/src/gateway/duties/delivery.rs
+++ b/src/gateway/duties/delivery.rs
@@ -37,11 +37,11 @@
     /// The start of the entry that has counted.
     pub boot: u64,
     pub number: u32,
-    /// The start of the keeper that has taken all former counts, if one has.
-    pub keeper: Option<u64>,
+    /// The start of the collector that has taken all former counts, if one has.
+    pub collector: Option<u64>,
     pub counts: tally::Counts,
     /// With these counts and the former ones, everything that ran before this time of day is counted.
-    pub settled_ms: Option<u64>,
+    pub watermark_ms: Option<u64>,
 }
 
 /// A batch has come.
@@ -52,12 +52,12 @@
     pub number: u32,
 }
 
-/// What one keeper has taken.
+/// What one collector has taken.
 #[derive(Clone, Debug, Default)]
-struct Keeper {
+struct Collector {
     start: Option<u64>,
     taken: tally::Counts,
-    settled_ms: u64,
+    watermark_ms: u64,
     open: VecDeque<CountBatch>,
 }
 
@@ -67,29 +67,30 @@
     boot: u64,
     window_ms: u64,
     number: u32,
-    keepers: HashMap<SocketAddr, Keeper>,
+    collectors: HashMap<SocketAddr, Collector>,
 }
 
 impl Outbox {
     #[must_use]
     pub fn new(boot: u64, window_ms: u64) -> Self {
-        Self { boot, window_ms: window_ms.max(1), number: 0, keepers: HashMap::new() }
+        Self { boot, window_ms: window_ms.max(1), number: 0, collectors: HashMap::new() }
     }
 
-    /// What to send to each keeper now. `settled_ms`: everything that ran before is in `own`.
+    /// What to send to each collector now. `watermark_ms`: everything that ran before is in `own`.
     pub fn batches(
         &mut self,
-        keepers: &[SocketAddr],
+        collectors: &[SocketAddr],
         own: &tally::Counts,
-        settled_ms: u64,
+        watermark_ms: u64,
     ) -> Vec<(SocketAddr, CountBatch)> {
-        self.keepers.retain(|addr, _| keepers.contains(addr));
+        self.collectors.retain(|addr, _| collectors.contains(addr));
         let own = own.newest(DELIVERED_WINDOWS);
         let mut batches = Vec::new();
-        for addr in keepers {
-            let keeper = self.keepers.entry(*addr).or_default();
-            let left = own.beyond(&keeper.taken);
-            let is_next_window = settled_ms / self.window_ms > keeper.settled_ms / self.window_ms;
+        for addr in collectors {
+            let collector = self.collectors.entry(*addr).or_default();
+            let left = own.beyond(&collector.taken);
+            let is_next_window =
+                watermark_ms / self.window_ms > collector.watermark_ms / self.window_ms;
             if left.is_empty() && !is_next_window {
                 continue;
             }
@@ -103,64 +104,67 @@
                 let batch = CountBatch {
                     boot: self.boot,
                     number: self.number,
-                    keeper: keeper.start,
+                    collector: collector.start,
                     counts,
-                    settled_ms: is_all.then_some(settled_ms),
+                    watermark_ms: is_all.then_some(watermark_ms),
                 };
-                if keeper.open.len() >= MAX_OPEN {
-                    keeper.open.pop_front();
+                if collector.open.len() >= MAX_OPEN {
+                    collector.open.pop_front();
                 }
-                keeper.open.push_back(batch.clone());
+                collector.open.push_back(batch.clone());
                 batches.push((*addr, batch));
             }
         }
         batches
     }
 
-    /// A keeper has taken a batch.
+    /// A collector has taken a batch.
     pub fn acknowledge(&mut self, from: SocketAddr, start: u64, ack: CountAck) {
-        let Some(keeper) = self.keepers.get_mut(&from).filter(|_| ack.boot == self.boot) else {
+        let Some(collector) = self.collectors.get_mut(&from).filter(|_| ack.boot == self.boot)
+        else {
             return;
         };
-        if keeper.start != Some(start) {
+        if collector.start != Some(start) {
             // Another start of it has nothing of what the former one had.
-            *keeper = Keeper { start: Some(start), ..Keeper::default() };
+            *collector = Collector { start: Some(start), ..Collector::default() };
             return;
         }
-        let at = keeper.open.iter().position(|batch| batch.number == ack.number);
-        let Some(batch) = at.and_then(|at| keeper.open.remove(at)) else {
+        let at = collector.open.iter().position(|batch| batch.number == ack.number);
+        let Some(batch) = at.and_then(|at| collector.open.remove(at)) else {
             return;
         };
-        if batch.keeper == Some(start) {
-            keeper.taken.merge(&batch.counts);
-            keeper.settled_ms = keeper.settled_ms.max(batch.settled_ms.unwrap_or(0));
+        if batch.collector == Some(start) {
+            collector.taken.merge(&batch.counts);
+            collector.watermark_ms = collector.watermark_ms.max(batch.watermark_ms.unwrap_or(0));
         }
     }
 
-    /// Whether some keeper has all of these counts, or there is none.
+    /// Whether some collector has all of these counts, or there is none.
     #[must_use]
     pub fn is_delivered(&self, own: &tally::Counts) -> bool {
         let own = own.newest(DELIVERED_WINDOWS);
-        let mut keepers = self.keepers.values();
-        self.keepers.is_empty() || keepers.any(|keeper| own.beyond(&keeper.taken).is_empty())
+        let mut collectors = self.collectors.values();
+        self.collectors.is_empty()
+            || collectors.any(|collector| own.beyond(&collector.taken).is_empty())
     }
 }
 
-/// Up to when each start of an entry has counted everything, as a keeper knows.
+/// Up to when each start of an entry has counted everything, as a collector knows.
 #[derive(Clone, Debug, Default)]
-pub struct Settled {
+pub struct Watermarks {
     until_ms: HashMap<u64, u64>,
 }
 
-impl Settled {
-    /// Takes a batch that has come to this start of the keeper, and gives its ack.
-    pub fn take(&mut self, batch: &CountBatch, own_boot: u64) -> CountAck {
-        if let Some(settled_ms) = batch.settled_ms.filter(|_| batch.keeper == Some(own_boot)) {
+impl Watermarks {
+    /// Takes a batch that has come to this start of the collector, and gives its ack.
+    pub fn receive(&mut self, batch: &CountBatch, own_boot: u64) -> CountAck {
+        if let Some(watermark_ms) = batch.watermark_ms.filter(|_| batch.collector == Some(own_boot))
+        {
             if self.until_ms.len() >= MAX_STARTS {
-                self.until_ms.retain(|_, until_ms| *until_ms + LATEST_MS >= settled_ms);
+                self.until_ms.retain(|_, until_ms| *until_ms + LATEST_MS >= watermark_ms);
             }
             let until_ms = self.until_ms.entry(batch.boot).or_default();
-            *until_ms = settled_ms.max(*until_ms);
+            *until_ms = watermark_ms.max(*until_ms);
         }
         CountAck { boot: batch.boot, number: batch.number }
     }
@@ -173,14 +177,14 @@
         end_ms: u64,
         now_unix_ms: u64,
         held_ms: u64,
-        is_settled_here: bool,
+        is_complete_here: bool,
         mut boots: impl Iterator<Item = u64>,
     ) -> bool {
         let passed_ms = now_unix_ms.saturating_sub(end_ms);
         let is_settled =
             |boot: u64| self.until_ms.get(&boot).is_some_and(|until_ms| *until_ms >= end_ms);
         (passed_ms >= LATEST_MS && held_ms >= BEGIN_MS)
-            || (passed_ms >= LEAST_MS && is_settled_here && boots.all(is_settled))
+            || (passed_ms >= LEAST_MS && is_complete_here && boots.all(is_settled))
     }
 }
 
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -189,7 +189,7 @@
         Message::Departures(departures) => control.take_departures(&departures, now_ms),
         Message::Counts { from, counts } => {
             shared.tally().take(counts.boot, &counts.counts);
-            let receipt = control.settled.borrow_mut().take(&counts, shared.boot);
+            let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
             let message = Message::CountsTaken {
                 from: shared.settings.peer_addr(),
                 keeper: shared.boot,
--- a/tests/gateway/billing.rs
+++ b/tests/gateway/billing.rs
@@ -2,7 +2,7 @@
 //! counted twice.
 
 use briarwinch::clock;
-use briarwinch::gateway::duties::delivery::{Outbox, Settled};
+use briarwinch::gateway::duties::delivery::{Outbox, Watermarks};
 use briarwinch::gateway::duties::tally::Tally;
 
 fn count(tally: &Tally, window: u64, account: &str) -> u32 {
@@ -69,21 +69,21 @@
     let end_ms = 101 * WINDOW_MS;
     let mut own = Tally::default();
     let mut outbox = Outbox::new(1, WINDOW_MS);
-    let mut deliver = |own: &Tally, kept: &mut Tally, settled: &mut Settled, start: u64| {
+    let mut deliver = |own: &Tally, kept: &mut Tally, settled: &mut Watermarks, start: u64| {
         for (_, parcel) in outbox.batches(&[keeper], &own.newest_of(1, 6), end_ms + 1) {
             kept.take(parcel.boot, &parcel.counts);
-            let receipt = settled.take(&parcel, start);
+            let receipt = settled.receive(&parcel, start);
             outbox.acknowledge(keeper, start, receipt);
         }
     };
     let may_seal =
-        |settled: &Settled| settled.may_seal(end_ms, end_ms + 200, 5_000, true, [1].into_iter());
+        |settled: &Watermarks| settled.may_seal(end_ms, end_ms + 200, 5_000, true, [1].into_iter());
     own.add(1, 100, "court");
-    let (mut kept, mut settled) = (Tally::default(), Settled::default());
+    let (mut kept, mut settled) = (Tally::default(), Watermarks::default());
     (0..3).for_each(|_| deliver(&own, &mut kept, &mut settled, 7));
     assert!(may_seal(&settled));
     own.add(1, 100, "press");
-    let (mut kept, mut settled) = (Tally::default(), Settled::default());
+    let (mut kept, mut settled) = (Tally::default(), Watermarks::default());
     deliver(&own, &mut kept, &mut settled, 8);
     assert!(!may_seal(&settled), "only what is new has come");
     (0..3).for_each(|_| deliver(&own, &mut kept, &mut settled, 8));
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use briarwinch::gateway::directory::EndpointKey;
-use briarwinch::gateway::duties::delivery::{Outbox, Settled};
+use briarwinch::gateway::duties::delivery::{Outbox, Watermarks};
 use briarwinch::gateway::duties::tally::Tally;
 use briarwinch::gateway::fleet::exchange::{Exchange, Facts, Outgoing, Own};
 use briarwinch::gateway::fleet::message::Message;
@@ -37,7 +37,7 @@
     pub departures: departures::Departures,
     pub tally: Tally,
     pub outbox: Outbox,
-    pub settled: Settled,
+    pub settled: Watermarks,
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub evacuations: evacuation::Evacuations,
@@ -146,7 +146,7 @@
             departures: departures::Departures::default(),
             tally: Tally::default(),
             outbox: Outbox::new(boot, WINDOW_MS),
-            settled: Settled::default(),
+            settled: Watermarks::default(),
             holds_duties: false,
             is_stopping: false,
             evacuations: evacuation::Evacuations::default(),
@@ -250,7 +250,7 @@
             }
             Message::Counts { from, counts } => {
                 node.tally.take(counts.boot, &counts.counts);
-                let receipt = node.settled.take(&counts, node.boot);
+                let receipt = node.settled.receive(&counts, node.boot);
                 let message = Message::CountsTaken { from: node.addr, keeper: node.boot, receipt };
                 out.push(Outgoing { to: vec![from], message });
             }
