--- a/src/gateway/duties/delivery.rs
+++ b/src/gateway/duties/delivery.rs
@@ -190,11 +190,11 @@
 
 /// What one start of an entry has counted in a window, by index of the account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SavedStart(pub u64, pub u64, pub Vec<(u32, u32)>);
+pub struct SavedWindow(pub u64, pub u64, pub Vec<(u32, u32)>);
 
 /// Counts of several starts of entries, as they are saved: accounts are named once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedCounts {
     pub accounts: Vec<CompactString>,
-    pub starts: Vec<SavedStart>,
+    pub starts: Vec<SavedWindow>,
 }
--- a/src/gateway/duties/tally.rs
+++ b/src/gateway/duties/tally.rs
@@ -144,9 +144,9 @@
 
     /// All entries' counts of a window and all later ones, to be saved.
     #[must_use]
-    pub fn save(&self, first: u64) -> delivery::Saved {
+    pub fn save(&self, first: u64) -> delivery::SavedCounts {
         let mut indices: HashMap<&CompactString, u32> = HashMap::new();
-        let mut saved = delivery::Saved::default();
+        let mut saved = delivery::SavedCounts::default();
         for (boot, counts) in &self.by_boot {
             for (window, counts) in counts.windows.range(first..) {
                 let mut row = Vec::with_capacity(counts.len());
@@ -157,15 +157,15 @@
                     });
                     row.push((index, *count));
                 }
-                saved.starts.push(delivery::SavedStart(*boot, *window, row));
+                saved.starts.push(delivery::SavedWindow(*boot, *window, row));
             }
         }
         saved
     }
 
     /// Takes over counts that were saved.
-    pub fn load(&mut self, saved: &delivery::Saved) {
-        for delivery::SavedStart(boot, window, row) in &saved.starts {
+    pub fn load(&mut self, saved: &delivery::SavedCounts) {
+        for delivery::SavedWindow(boot, window, row) in &saved.starts {
             let named = row.iter().filter_map(|(index, count)| {
                 Some((saved.accounts.get(*index as usize)?.clone(), *count))
             });
