--- a/src/gateway/duties/delivery.rs
+++ b/src/gateway/duties/delivery.rs
@@ -88,7 +88,7 @@
         let mut batches = Vec::new();
         for addr in collectors {
             let collector = self.collectors.entry(*addr).or_default();
-            let left = own.beyond(&collector.taken);
+            let left = own.difference(&collector.taken);
             let is_next_window =
                 watermark_ms / self.window_ms > collector.watermark_ms / self.window_ms;
             if left.is_empty() && !is_next_window {
@@ -145,7 +145,7 @@
         let own = own.newest(DELIVERED_WINDOWS);
         let mut collectors = self.collectors.values();
         self.collectors.is_empty()
-            || collectors.any(|collector| own.beyond(&collector.taken).is_empty())
+            || collectors.any(|collector| own.difference(&collector.taken).is_empty())
     }
 }
 
--- a/src/gateway/duties/tally.rs
+++ b/src/gateway/duties/tally.rs
@@ -48,8 +48,8 @@
 
     /// What stands here beyond what stands in another copy of the same counts.
     #[must_use]
-    pub fn beyond(&self, other: &Self) -> Self {
-        let mut beyond = Self::default();
+    pub fn difference(&self, other: &Self) -> Self {
+        let mut difference = Self::default();
         for (window, counts) in &self.windows {
             let known = other.windows.get(window);
             let is_beyond = |(account, count): &(&CompactString, &u32)| {
@@ -61,10 +61,10 @@
                 .map(|(name, count)| (name.clone(), *count))
                 .collect();
             if !counts.is_empty() {
-                beyond.windows.insert(*window, counts);
+                difference.windows.insert(*window, counts);
             }
         }
-        beyond
+        difference
     }
 
     /// Bytes of the longest line in a message.
@@ -128,7 +128,7 @@
     }
 
     /// Takes over what an entry told of its own counts.
-    pub fn take(&mut self, boot: u64, counts: &Counts) {
+    pub fn merge(&mut self, boot: u64, counts: &Counts) {
         self.by_boot.entry(boot).or_default().merge(counts);
     }
 
@@ -170,14 +170,14 @@
                 Some((saved.accounts.get(*index as usize)?.clone(), *count))
             });
             let counts = Counts { windows: BTreeMap::from([(*window, named.collect())]) };
-            self.take(*boot, &counts);
+            self.merge(*boot, &counts);
         }
     }
 
     /// Takes over counts by start of an entry, as [`Tally::newest`] gave them.
-    pub fn take_saved(&mut self, saved: BTreeMap<u64, Counts>) {
+    pub fn merge_all(&mut self, saved: BTreeMap<u64, Counts>) {
         for (boot, counts) in saved {
-            self.take(boot, &counts);
+            self.merge(boot, &counts);
         }
     }
 
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -188,7 +188,7 @@
         Message::Limits(limits) => control.take_limits(&limits, now_ms),
         Message::Departures(departures) => control.take_departures(&departures, now_ms),
         Message::Counts { from, counts } => {
-            shared.tally().take(counts.boot, &counts.counts);
+            shared.tally().merge(counts.boot, &counts.counts);
             let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
             let message = Message::CountsTaken {
                 from: shared.settings.peer_addr(),
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -182,7 +182,7 @@
             Ok(State { memory: Some(memory), .. }) => {
                 slog::info!(control.log, "counts gathered"; "peer" => from.to_string(),
                     "starts" => memory.counts.len());
-                control.shared.tally().take_saved(memory.counts);
+                control.shared.tally().merge_all(memory.counts);
             }
             Ok(State { memory: None, .. }) => {}
             Err(error) => note_failed(control, *from, &error),
@@ -197,7 +197,7 @@
         "parts" => memory.placed.len(), "starts" => memory.counts.len());
     let mut homes = control.shared.homes();
     memory.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
-    control.shared.tally().take_saved(memory.counts);
+    control.shared.tally().merge_all(memory.counts);
 }
 
 async fn read_state<P>(
--- a/tests/gateway/billing.rs
+++ b/tests/gateway/billing.rs
@@ -18,8 +18,8 @@
         dying.add(1, 100, "court");
     }
     living.add(2, 100, "court");
-    living.take(1, &dying.newest_of(1, 2));
-    living.take(1, &dying.newest_of(1, 2));
+    living.merge(1, &dying.newest_of(1, 2));
+    living.merge(1, &dying.newest_of(1, 2));
     assert_eq!(count(&living, 100, "court"), 6, "told twice, counted once");
 }
 
@@ -34,9 +34,9 @@
     let saved = before.newest(2);
     let mut after = Tally::default();
     after.add(3, 100, "court");
-    after.take_saved(saved.clone());
-    after.take_saved(saved);
-    after.take(2, &before.newest_of(2, 2));
+    after.merge_all(saved.clone());
+    after.merge_all(saved);
+    after.merge(2, &before.newest_of(2, 2));
     assert_eq!(count(&after, 100, "court"), 3);
     assert_eq!(count(&after, 99, "press"), 1);
 }
@@ -52,7 +52,7 @@
     let saved = serde_json::to_string(&before.save(100)).expect("text");
     let saved = serde_json::from_str(&saved).expect("counts");
     let mut after = Tally::default();
-    after.take(2, &before.newest_of(2, 2));
+    after.merge(2, &before.newest_of(2, 2));
     after.load(&saved);
     after.load(&saved);
     assert_eq!((count(&after, 100, "court"), count(&after, 101, "press")), (2, 1));
@@ -71,7 +71,7 @@
     let mut outbox = Outbox::new(1, WINDOW_MS);
     let mut deliver = |own: &Tally, kept: &mut Tally, settled: &mut Watermarks, start: u64| {
         for (_, parcel) in outbox.batches(&[keeper], &own.newest_of(1, 6), end_ms + 1) {
-            kept.take(parcel.boot, &parcel.counts);
+            kept.merge(parcel.boot, &parcel.counts);
             let receipt = settled.receive(&parcel, start);
             outbox.acknowledge(keeper, start, receipt);
         }
@@ -100,7 +100,7 @@
     let mut there = Tally::default();
     let pieces = here.newest_of(1, 2).split(60);
     assert_eq!(pieces.len(), 4);
-    pieces.iter().for_each(|piece| there.take(1, piece));
+    pieces.iter().for_each(|piece| there.merge(1, piece));
     assert_eq!(there.sum(100), here.sum(100));
 }
 
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -249,7 +249,7 @@
                 }
             }
             Message::Counts { from, counts } => {
-                node.tally.take(counts.boot, &counts.counts);
+                node.tally.merge(counts.boot, &counts.counts);
                 let receipt = node.settled.receive(&counts, node.boot);
                 let message = Message::CountsTaken { from: node.addr, keeper: node.boot, receipt };
                 out.push(Outgoing { to: vec![from], message });
