--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -90,7 +90,7 @@
     async fn report_usage(
         &self,
         holder: &Holder,
-        seal: &billing::Sealed,
+        seal: &billing::SealedWindow,
     ) -> Result<(), store::Failure>;
 
     /// Orders how many endpoints of a service run in a zone.
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -24,7 +24,7 @@
 
 /// The final figures of a billing window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sealed {
+pub struct SealedWindow {
     pub window: u64,
     /// Requests that began to run, by client account.
     pub counts: BTreeMap<CompactString, u32>,
@@ -56,7 +56,7 @@
     /// Nothing is tried before this time.
     retry_ms: u64,
     /// What the store holds, once read, with its version.
-    seals: Option<(u64, Vec<Sealed>)>,
+    seals: Option<(u64, Vec<SealedWindow>)>,
     reported: BTreeSet<u64>,
     /// Those that kept counts before this holder did were asked for them.
     has_gathered: bool,
@@ -112,7 +112,7 @@
         &mut self,
         control: &Control<P>,
         holder: &Holder,
-        sealed: &Sealed,
+        sealed: &SealedWindow,
     ) {
         match control.platform.report_usage(holder, sealed).await {
             Ok(()) => {
@@ -147,7 +147,7 @@
     }
 
     /// The next window that is over and not sealed.
-    fn due<P>(&self, control: &Control<P>) -> Option<Sealed> {
+    fn due<P>(&self, control: &Control<P>) -> Option<SealedWindow> {
         let (_, seals) = self.seals.as_ref()?;
         let window_ms = control.shared.window_ms();
         let (now_ms, unix_ms) = (control.now_ms(), control.shared.time.unix_ms());
@@ -170,10 +170,10 @@
             is_settled_here,
             exchange.peers.boots_since(since_ms),
         );
-        is_due.then_some(Sealed { window, counts })
+        is_due.then_some(SealedWindow { window, counts })
     }
 
-    async fn seal<P: Platform>(&mut self, control: &Control<P>, sealed: Sealed) {
+    async fn seal<P: Platform>(&mut self, control: &Control<P>, sealed: SealedWindow) {
         let Some((version, seals)) = self.seals.take() else {
             return;
         };
@@ -243,6 +243,6 @@
 }
 
 /// The first window after those that are sealed.
-fn first_unsealed(seals: &[Sealed]) -> u64 {
+fn first_unsealed(seals: &[SealedWindow]) -> u64 {
     seals.iter().map(|sealed| sealed.window + 1).max().unwrap_or(0)
 }
