--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -34,7 +34,7 @@
 
 /// What is ordered together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Subject {
+pub struct Target {
     pub service: CompactString,
     pub zone: CompactString,
 }
@@ -42,7 +42,8 @@
 /// A number of endpoints that is ordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    pub subject: Subject,
+    #[serde(rename = "subject")]
+    pub target: Target,
     pub count: u32,
 }
 
@@ -59,17 +60,17 @@
     version: u64,
     orders: Vec<Order>,
     /// Not known to be taken by the platform.
-    open: BTreeSet<Subject>,
+    open: BTreeSet<Target>,
 }
 
 impl Ordered {
-    fn count(&self, subject: &Subject) -> Option<u32> {
-        self.orders.iter().find(|one| one.subject == *subject).map(|one| one.count)
+    fn count(&self, target: &Target) -> Option<u32> {
+        self.orders.iter().find(|one| one.target == *target).map(|one| one.count)
     }
 
     fn set(&mut self, order: Order) {
-        self.orders.retain(|one| one.subject != order.subject);
-        self.open.insert(order.subject.clone());
+        self.orders.retain(|one| one.target != order.target);
+        self.open.insert(order.target.clone());
         self.orders.push(order);
     }
 }
@@ -77,7 +78,7 @@
 /// Scaling, as the holder of the duties knows it.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct Scaling {
-    planners: HashMap<Subject, Planner>,
+    planners: HashMap<Target, Planner>,
     ordered: Option<Ordered>,
     next_ms: u64,
 }
@@ -104,8 +105,8 @@
             return election::Tick::Done;
         }
         let open = self.ordered.as_ref().and_then(|ordered| {
-            let subject = ordered.open.first()?;
-            Some(Order { subject: subject.clone(), count: ordered.count(subject)? })
+            let target = ordered.open.first()?;
+            Some(Order { target: target.clone(), count: ordered.count(target)? })
         });
         match open {
             Some(order) => {
@@ -129,7 +130,7 @@
                     Vec::new()
                 });
                 // The former holder may have ended between writing and ordering.
-                let open = orders.iter().map(|order| order.subject.clone()).collect();
+                let open = orders.iter().map(|order| order.target.clone()).collect();
                 self.ordered = Some(Ordered { version: object.version, orders, open });
             }
             Err(failure) => {
@@ -152,9 +153,9 @@
             return;
         }
         for order in changes {
-            slog::info!(control.log, "endpoints planned"; "service" => order.subject.service.as_str(),
-                "zone" => order.subject.zone.as_str(), "count" => order.count,
-                "before" => ordered.count(&order.subject));
+            slog::info!(control.log, "endpoints planned"; "service" => order.target.service.as_str(),
+                "zone" => order.target.zone.as_str(), "count" => order.count,
+                "before" => ordered.count(&order.target));
             ordered.set(order);
         }
         let condition = Condition::at(ordered.version);
@@ -191,9 +192,9 @@
             let away = control.shared.turned_away().count(&service.name, now_ms);
             let waiting = away / zones.len().max(1) as u32;
             for (zone, endpoints) in zones {
-                let subject = Subject { service: service.name.clone(), zone };
+                let target = Target { service: service.name.clone(), zone };
                 let live = endpoints.len() as u32;
-                let before = ordered.count(&subject).unwrap_or(live);
+                let before = ordered.count(&target).unwrap_or(live);
                 let slots = endpoints.iter().map(|one| one.slots).max().unwrap_or(1);
                 let book = control.shared.book();
                 let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
@@ -201,7 +202,7 @@
                 let seen = Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
                     .planners
-                    .entry(subject.clone())
+                    .entry(target.clone())
                     .or_insert_with(|| Planner::with_start_ms(bounds.start_ms));
                 let limits = config::EndpointBounds { least: bounds.least, most: bounds.most };
                 let count = match planner.plan(seen, limits, now_ms) {
@@ -209,7 +210,7 @@
                     Plan::Stop => before - 1,
                     Plan::Hold => continue,
                 };
-                changes.push(Order { subject, count });
+                changes.push(Order { target, count });
             }
         }
         changes
@@ -217,20 +218,20 @@
 
     async fn order<P: Platform>(&mut self, control: &Control<P>, holder: &Holder, order: Order) {
         let ordered = control.platform.order_endpoints(holder, &order).await;
-        let subject = &order.subject;
+        let target = &order.target;
         match ordered {
             Ok(()) => {
-                slog::info!(control.log, "endpoints ordered"; "service" => subject.service.as_str(),
-                    "zone" => subject.zone.as_str(), "count" => order.count,
+                slog::info!(control.log, "endpoints ordered"; "service" => target.service.as_str(),
+                    "zone" => target.zone.as_str(), "count" => order.count,
                     "fence" => holder.fence.0);
                 if let Some(ordered) = &mut self.ordered {
-                    ordered.open.remove(subject);
+                    ordered.open.remove(target);
                 }
             }
             Err(failure) => {
                 self.next_ms = control.now_ms() + RETRY_MS;
                 slog::info!(control.log, "endpoints not ordered";
-                    "service" => subject.service.as_str(), "zone" => subject.zone.as_str(),
+                    "service" => target.service.as_str(), "zone" => target.zone.as_str(),
                     "count" => order.count, "failure" => failure.to_string());
             }
         }
