--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -285,7 +285,7 @@
     }
 
     /// Takes a configuration, if it is newer than the one in force.
-    pub(super) fn take_table(&self, parts: route::Parts, source: &'static str) {
+    pub(super) fn apply_config(&self, parts: route::Parts, source: &'static str) {
         let known = self.config_version();
         if parts.version <= known {
             return;
@@ -302,7 +302,7 @@
     }
 
     /// Runs a change on the directory and publishes the outcome if it changed anything.
-    pub(super) fn change_directory(
+    pub(super) fn update_directory(
         &self,
         source: &'static str,
         change: impl FnOnce(&mut directory::Directory) -> bool,
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -7,7 +7,7 @@
 
 impl<P> Control<P> {
     /// Runs a change on the evacuated zones and publishes the outcome if it brought anything new.
-    pub(in crate::gateway) fn change_evacuations(
+    pub(in crate::gateway) fn update_evacuations(
         &self,
         source: &'static str,
         change: impl FnOnce(&mut evacuation::Evacuations) -> bool,
@@ -47,7 +47,7 @@
     }
 
     /// Takes what a peer tells of the limits that endpoints have named.
-    pub(in crate::gateway) fn take_limits(&self, told: &[limits::Told], now_ms: u64) {
+    pub(in crate::gateway) fn apply_peer_limits(&self, told: &[limits::Told], now_ms: u64) {
         let directory = self.directory.borrow();
         let mut limits = self.shared.limits();
         for one in told {
@@ -59,7 +59,11 @@
     }
 
     /// Takes what a peer tells of endpoints that have said that they leave.
-    pub(in crate::gateway) fn take_departures(&self, told: &[departures::Departure], now_ms: u64) {
+    pub(in crate::gateway) fn apply_peer_departures(
+        &self,
+        told: &[departures::Departure],
+        now_ms: u64,
+    ) {
         let directory = self.directory.borrow();
         let mut departures = self.shared.departures();
         for departure in told {
@@ -71,7 +75,7 @@
     }
 
     /// Deals this entry's shares of the limits that endpoints have named.
-    pub(in crate::gateway) fn share_limits(&self) {
+    pub(in crate::gateway) fn update_limit_shares(&self) {
         let exchange = self.exchange.borrow();
         let directory = self.directory.borrow();
         self.shared.limits().set_shares(self.now_ms(), |key, rate| {
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -57,9 +57,9 @@
         }
         if !is_news {
             update_entries(&control, now_ms);
-            control.change_directory("grace time over", |directory| directory.expire(now_ms));
+            control.update_directory("grace time over", |directory| directory.expire(now_ms));
             control.update_warming();
-            control.share_limits();
+            control.update_limit_shares();
         }
     }
 }
@@ -185,8 +185,8 @@
             let mut homes = shared.homes();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
-        Message::Limits(limits) => control.take_limits(&limits, now_ms),
-        Message::Departures(departures) => control.take_departures(&departures, now_ms),
+        Message::Limits(limits) => control.apply_peer_limits(&limits, now_ms),
+        Message::Departures(departures) => control.apply_peer_departures(&departures, now_ms),
         Message::Counts { from, counts } => {
             shared.tally().merge(counts.boot, &counts.counts);
             let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
@@ -210,7 +210,7 @@
 fn take_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
     shared.gate.take(state.gate, now_ms);
-    control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
+    control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
         if control.passed_lease.get().is_none_or(newer) {
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -104,11 +104,11 @@
         match read_state(&control, offered.from, wanted).await {
             Ok(state) => {
                 if let Some(parts) = state.config {
-                    control.take_table(parts, "peer");
+                    control.apply_config(parts, "peer");
                 }
                 if let Some(newer) = state.directory {
                     let now_ms = control.now_ms();
-                    control.change_directory("peer", |directory| {
+                    control.update_directory("peer", |directory| {
                         directory.adopt(newer, &state.lapsed, &state.cold, now_ms)
                     });
                 }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -136,11 +136,11 @@
         Topic::Config => {
             for item in batch.items {
                 if let Item::Config(parts) = item {
-                    control.take_table(*parts, "store");
+                    control.apply_config(*parts, "store");
                 }
             }
         }
-        Topic::Endpoints => control.change_directory("store", |directory| {
+        Topic::Endpoints => control.update_directory("store", |directory| {
             let now_ms = control.now_ms();
             let events = batch.items.into_iter().filter_map(|item| match item {
                 Item::Endpoint(event) => Some(event),
@@ -159,7 +159,7 @@
             };
             is_changed | directory.expire(now_ms)
         }),
-        Topic::Evacuations => control.change_evacuations("store", |evacuations| {
+        Topic::Evacuations => control.update_evacuations("store", |evacuations| {
             let changes = batch.items.into_iter().filter_map(|item| match item {
                 Item::Evacuation(change) => Some(change),
                 Item::Config(_) | Item::Endpoint(_) => None,
