--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -114,7 +114,7 @@
     /// Zones that were taken back just now, and when.
     taken_back: RefCell<HashMap<CompactString, u64>>,
     /// Wakes watches that wait at a store which no longer answers.
-    pub(super) silence: Notify,
+    pub(super) store_silent: Notify,
     pub(super) exchange: RefCell<exchange::Exchange>,
     /// This entry's counts on their way to those who bill.
     pub(super) outbox: RefCell<delivery::Outbox>,
@@ -134,13 +134,13 @@
     pub(super) reads_lease: Cell<bool>,
     /// What this entry has of what those before it knew.
     pub(super) remembered: RefCell<pulls::Remembered>,
-    lists_known: Cell<bool>,
+    has_endpoint_list: Cell<bool>,
     /// Topics that this start of the entry has not listed at the store yet.
     pub(super) topics_to_list: Cell<usize>,
     /// Topics whose last call the store failed, in the order in which they failed first.
-    failing: RefCell<Vec<Topic>>,
+    failing_topics: RefCell<Vec<Topic>>,
     /// Wakes what waits for the store to answer again.
-    regained: Notify,
+    store_regained: Notify,
 }
 
 /// Zones from which on one reader each is enough: while it is gone, the others' readers tell its zone.
@@ -192,7 +192,7 @@
         directory: RefCell::default(),
         evacuations: RefCell::default(),
         taken_back: RefCell::default(),
-        silence: Notify::new(),
+        store_silent: Notify::new(),
         socket: UdpSocket::from_std(sockets.udp)?,
         holds_duties: Cell::new(false),
         own_lease: Cell::new(None),
@@ -200,10 +200,10 @@
         told_lease: Cell::new(None),
         reads_lease: Cell::new(true),
         remembered: RefCell::default(),
-        lists_known: Cell::new(false),
+        has_endpoint_list: Cell::new(false),
         topics_to_list: Cell::new(topics(&shared).len()),
-        failing: RefCell::default(),
-        regained: Notify::new(),
+        failing_topics: RefCell::default(),
+        store_regained: Notify::new(),
         shared,
         log,
     });
@@ -242,35 +242,35 @@
     }
 
     /// Notes whether the store answered a call for a topic.
-    pub(super) fn store_answered(&self, topic: Topic, is_good: bool) {
-        let mut failing = self.failing.borrow_mut();
+    pub(super) fn record_store_call(&self, topic: Topic, is_good: bool) {
+        let mut failing = self.failing_topics.borrow_mut();
         let is_failing = failing.contains(&topic);
         if is_good && is_failing {
             failing.retain(|one| *one != topic);
-            self.regained.notify_waiters();
+            self.store_regained.notify_waiters();
         } else if !is_good && !is_failing {
             failing.push(topic);
         }
     }
 
     /// Whether the store answered the last calls.
-    pub(super) fn has_store(&self) -> bool {
-        self.failing.borrow().is_empty()
+    pub(super) fn is_store_available(&self) -> bool {
+        self.failing_topics.borrow().is_empty()
     }
 
     /// Waits until the store has answered a call for another topic, where that one failed first; for so long
     /// at most. So an outage costs one call at a time, not one for each topic.
-    pub(super) async fn other_topic_is_answered(&self, topic: Topic, most: Duration) {
-        let is_first = self.failing.borrow().first() == Some(&topic);
+    pub(super) async fn wait_to_retry(&self, topic: Topic, most: Duration) {
+        let is_first = self.failing_topics.borrow().first() == Some(&topic);
         if is_first {
             time::sleep(most).await;
         } else {
-            let _ = time::timeout(most.max(SECOND_TOPIC), self.regained.notified()).await;
+            let _ = time::timeout(most.max(SECOND_TOPIC), self.store_regained.notified()).await;
         }
     }
 
     /// Whether enough others of this zone would read the store before this entry.
-    pub(super) fn is_behind_readers(&self) -> bool {
+    pub(super) fn is_standby_reader(&self) -> bool {
         self.exchange.borrow().peers.reading_rank(self.now_ms()) >= FIRST_READERS
     }
 
@@ -309,7 +309,7 @@
     ) {
         let before = self.directory.borrow().clone();
         let is_changed = change(&mut self.directory.borrow_mut());
-        self.lists_known.set(true);
+        self.has_endpoint_list.set(true);
         if is_changed {
             self.log_directory(&before, source);
         }
@@ -353,7 +353,7 @@
         let table = self.table.borrow().clone();
         let evacuations = self.evacuations.borrow().clone();
         let knows_zones = evacuations.is_known() || self.shared.settings.evacuation_ms.is_none();
-        let is_ready = table.is_some() && self.lists_known.get() && knows_zones;
+        let is_ready = table.is_some() && self.has_endpoint_list.get() && knows_zones;
         let directory = Arc::new(self.directory.borrow().clone());
         let warming = self.warming(table.as_deref(), &directory, self.now_ms());
         let snapshot = shared::Snapshot { table, directory, evacuations, warming };
@@ -364,7 +364,7 @@
     }
 
     /// What this start of the entry has counted.
-    pub(super) fn counts(&self) -> tally::Counts {
+    pub(super) fn own_counts(&self) -> tally::Counts {
         self.shared.tally().newest_of(self.shared.boot, tally::KEPT_WINDOWS as usize)
     }
 }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -77,7 +77,7 @@
         unix_ms: control.shared.time.unix_ms(),
         config_version: control.config_version(),
         directory_revision: control.directory.borrow().revision(),
-        has_store: control.has_store(),
+        has_store: control.is_store_available(),
         holds_duties: own.is_some_and(|(told, _)| told.left_ms > 0 && !told.is_over),
         is_stopping: control.shared.is_draining(),
         lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
@@ -93,7 +93,7 @@
 fn send_counts<P>(control: &Control<P>, now_ms: u64) -> u64 {
     let shared = &control.shared;
     shared.forget_old_counts();
-    let own = control.counts();
+    let own = control.own_counts();
     let (keepers, entries) = {
         let peers = &control.exchange.borrow().peers;
         let mut keepers: Vec<SocketAddr> = peers.holder(now_ms).into_iter().collect();
@@ -235,7 +235,7 @@
         task::spawn_local(pulls::pull_memory(Rc::clone(control), state.from));
     }
     // One that has just started lists all at the store itself, and would only get the same twice.
-    let is_listing = control.topics_to_list.get() > 0 && control.has_store();
+    let is_listing = control.topics_to_list.get() > 0 && control.is_store_available();
     if !is_listing && offered.is_newer(control) && control.exchange.borrow_mut().peers.begin_pull()
     {
         task::spawn_local(pulls::pull(Rc::clone(control), offered));
--- a/src/gateway/fleet/members.rs
+++ b/src/gateway/fleet/members.rs
@@ -26,7 +26,7 @@
     let mut next_list_ms = 0;
     loop {
         time::sleep(LOOK).await;
-        if !is_enrolled && control.reads_store() && control.has_store() {
+        if !is_enrolled && control.reads_store() && control.is_store_available() {
             is_enrolled = enrol_once(&control, &key, own).await;
         }
         let now_ms = control.now_ms();
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -32,12 +32,12 @@
 pub(super) async fn probe<P: Platform>(control: Rc<Control<P>>) {
     loop {
         time::sleep(PROBE).await;
-        if !control.reads_store() || !control.has_store() {
+        if !control.reads_store() || !control.is_store_available() {
             continue;
         }
         if let Err(failure) = control.platform.probe().await {
             slog::info!(control.log, "store gives no sign of life"; "failure" => failure.to_string());
-            control.silence.notify_waiters();
+            control.store_silent.notify_waiters();
         }
     }
 }
@@ -52,7 +52,7 @@
         // Each entry reads once for itself: what peers tell at the start may be old.
         let is_young = control.shared.time.age_ms() < MEET_MS;
         if from.is_some() && (is_young || !control.reads_store()) {
-            control.store_answered(topic, true);
+            control.record_store_call(topic, true);
             // An outage of long ago says nothing about what vanishes when this entry reads again.
             outage = outage::Outage::new(leave_ms);
             time::sleep(ASIDE).await;
@@ -64,12 +64,12 @@
             None => control.platform.list_all(topic).await.map_err(WatchFailure::Failed),
             Some(revision) => tokio::select! {
                 brought = control.platform.watch(topic, revision, wait_ms) => brought,
-                () = control.silence.notified() => Err(WatchFailure::Failed(store::Failure::NoAnswer)),
+                () = control.store_silent.notified() => Err(WatchFailure::Failed(store::Failure::NoAnswer)),
             },
         };
         let now_ms = control.now_ms();
         let is_good = !matches!(brought, Err(WatchFailure::Failed(_)));
-        control.store_answered(topic, is_good);
+        control.record_store_call(topic, is_good);
         match brought {
             Ok(batch) => {
                 if let Some(away_ms) = outage.answered(now_ms) {
@@ -106,11 +106,11 @@
                     from = None;
                 }
                 // One that has listed nothing yet cannot serve, and looks as often as the first.
-                let is_behind = has_listed && control.is_behind_readers();
+                let is_behind = has_listed && control.is_standby_reader();
                 let pause_ms = outage.failed(now_ms, is_behind, &mut rand::rng());
                 let pause = Duration::from_millis(pause_ms);
                 if has_listed {
-                    control.other_topic_is_answered(topic, pause).await;
+                    control.wait_to_retry(topic, pause).await;
                 } else {
                     time::sleep(pause).await;
                 }
