--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -127,11 +127,11 @@
     /// What the others are told of a lease held here, as of a time.
     pub(super) own_lease: Cell<Option<(lease::Told, u64)>>,
     /// The newest that is known of another's lease, and since when, to be passed on.
-    pub(super) passed_lease: Cell<Option<(lease::Told, u64)>>,
+    pub(super) relayed_lease: Cell<Option<(lease::Told, u64)>>,
     /// What a holder has told last, and when.
-    pub(super) told_lease: Cell<Option<(lease::Told, u64)>>,
+    pub(super) received_lease: Cell<Option<(lease::Told, u64)>>,
     /// The store answered the last read of the lease.
-    pub(super) reads_lease: Cell<bool>,
+    pub(super) is_lease_readable: Cell<bool>,
     /// What this entry has of what those before it knew.
     pub(super) remembered: RefCell<pulls::Remembered>,
     has_endpoint_list: Cell<bool>,
@@ -196,9 +196,9 @@
         socket: UdpSocket::from_std(sockets.udp)?,
         holds_duties: Cell::new(false),
         own_lease: Cell::new(None),
-        passed_lease: Cell::new(None),
-        told_lease: Cell::new(None),
-        reads_lease: Cell::new(true),
+        relayed_lease: Cell::new(None),
+        received_lease: Cell::new(None),
+        is_lease_readable: Cell::new(true),
         remembered: RefCell::default(),
         has_endpoint_list: Cell::new(false),
         topics_to_list: Cell::new(topics(&shared).len()),
--- a/src/gateway/duties/election.rs
+++ b/src/gateway/duties/election.rs
@@ -59,7 +59,7 @@
         if control.shared.is_draining() {
             contender.release();
         }
-        if let Some((told, at_ms)) = control.told_lease.take() {
+        if let Some((told, at_ms)) = control.received_lease.take() {
             contender.told(told, at_ms);
             other_acted = Some((told.boot, at_ms.saturating_sub(told.idle_ms)));
         }
@@ -142,7 +142,7 @@
 async fn read<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
     let read = contest::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
     let is_read = read.is_ok();
-    if control.reads_lease.replace(is_read) != is_read {
+    if control.is_lease_readable.replace(is_read) != is_read {
         slog::info!(control.log, "lease"; "readable" => is_read,
             "failure" => read.err().map(|failure| failure.to_string()));
     }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -66,7 +66,7 @@
 
 fn facts<P>(control: &Control<P>, now_ms: u64) -> Facts {
     let own = control.own_lease.get();
-    let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
+    let told = control.relayed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
     let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
@@ -213,9 +213,9 @@
     control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
-        if control.passed_lease.get().is_none_or(newer) {
-            control.passed_lease.set(Some((told, now_ms)));
-            control.told_lease.set(Some((told, now_ms)));
+        if control.relayed_lease.get().is_none_or(newer) {
+            control.relayed_lease.set(Some((told, now_ms)));
+            control.received_lease.set(Some((told, now_ms)));
         }
     }
     let facts = facts(control, now_ms);
