--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -124,7 +124,7 @@
             own,
             own_tag: 0,
             zone: settings.zone.clone(),
-            strength: settings.strength(),
+            strength: settings.millicores(),
             started_ms: now_ms,
             seeds: seeds.filter(|addr| *addr != own).collect(),
             heard: BTreeMap::new(),
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -98,7 +98,7 @@
 
     /// What the instance can carry, in thousandths of a core.
     #[must_use]
-    pub fn strength(&self) -> u16 {
+    pub fn millicores(&self) -> u16 {
         (self.cores * 1_000.0) as u16
     }
 
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -134,7 +134,8 @@
     ) -> Node {
         let settings = settings(index, zone, cores);
         let boot = random.random();
-        let own = Own { addr: addr(index), boot, zone: zone.into(), strength: settings.strength() };
+        let own =
+            Own { addr: addr(index), boot, zone: zone.into(), strength: settings.millicores() };
         Node {
             addr: addr(index),
             zone,
