--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -15,7 +15,7 @@
 const LOOK: Duration = Duration::from_secs(2);
 
 /// Listens for hang-up signals from now on: until then one ends the process.
-pub fn hangups(log: &slog::Logger) -> Option<Signal> {
+pub fn hangup_signals(log: &slog::Logger) -> Option<Signal> {
     signal(SignalKind::hangup())
         .inspect_err(|error| {
             slog::error!(log, "hang-up signals are not seen"; "error" => error.to_string());
@@ -27,13 +27,13 @@
 pub async fn follow(
     shared: Arc<shared::Shared>,
     file: PathBuf,
-    mut hangups: Option<Signal>,
+    mut hangup_signals: Option<Signal>,
     log: slog::Logger,
 ) {
     let mut known = shared.settings.clone();
     loop {
-        let hung_up = match &mut hangups {
-            Some(hangups) => time::timeout(LOOK, hangups.recv()).await.is_ok(),
+        let hung_up = match &mut hangup_signals {
+            Some(hangup_signals) => time::timeout(LOOK, hangup_signals.recv()).await.is_ok(),
             None => {
                 time::sleep(LOOK).await;
                 false
