--- a/src/gateway/duties/mod.rs
+++ b/src/gateway/duties/mod.rs
@@ -1,4 +1,4 @@
-//! What one entry does for the whole fleet while it holds the lease: billing and the number of endpoints.
+//! The work that one entry does for the whole fleet while it holds the lease: billing and autoscaling.
 
 pub mod billing;
 pub mod delivery;
