--- a/src/gateway/duties/tally.rs
+++ b/src/gateway/duties/tally.rs
@@ -1,7 +1,7 @@
-//! How many requests of each client account began to run, by billing window.
+//! Counts of the requests that began to run, by client account and billing window.
 //!
-//! Each entry counts its own and sends them to those who bill, so that the counts of an entry that dies
-//! are known elsewhere up to a moment before.
+//! Each entry counts its own requests and sends the counts to the collectors, so that nearly all counts of
+//! an entry outlive it.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,14 +10,14 @@
 
 use crate::gateway::duties::delivery;
 
-/// Bytes of a count with an account's name of usual length in a message.
+/// Size in a message of a count with an account name of typical length.
 pub const MAX_COUNT_BYTES: usize = 20;
-/// Bytes of a count beside the account's name in a message, at most.
+/// Maximum size in a message of a count without its account name.
 const COUNT_BYTES: usize = 6;
-/// Windows that are told and kept; a report is due two windows after a window's end.
+/// Number of windows that are sent and kept; a report is due two windows after a window's end.
 pub(in crate::gateway) const KEPT_WINDOWS: u64 = 6;
 
-/// What one start of an entry has counted.
+/// The counts of one process start of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     windows: BTreeMap<u64, BTreeMap<CompactString, u32>>,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The newest windows, this many.
+    /// Returns the counts of the newest `count` windows.
     #[must_use]
     pub fn newest(&self, count: usize) -> Self {
         let newest = self.windows.iter().rev().take(count);
@@ -46,18 +46,18 @@
         Self { windows: newest.map(|(window, counts)| (*window, counts.clone())).collect() }
     }
 
-    /// What stands here beyond what stands in another copy of the same counts.
+    /// Returns the counts that are higher here than in another copy of the same counts.
     #[must_use]
     pub fn difference(&self, other: &Self) -> Self {
         let mut difference = Self::default();
         for (window, counts) in &self.windows {
             let known = other.windows.get(window);
-            let is_beyond = |(account, count): &(&CompactString, &u32)| {
+            let is_higher = |(account, count): &(&CompactString, &u32)| {
                 known.and_then(|known| known.get(*account)).is_none_or(|known| known < *count)
             };
             let counts: BTreeMap<CompactString, u32> = counts
                 .iter()
-                .filter(is_beyond)
+                .filter(is_higher)
                 .map(|(name, count)| (name.clone(), *count))
                 .collect();
             if !counts.is_empty() {
@@ -67,7 +67,7 @@
         difference
     }
 
-    /// Bytes of the longest line in a message.
+    /// Returns the maximum size in a message of any count with its account name.
     #[must_use]
     pub fn longest_bytes(&self) -> usize {
         let names = self.windows.values().flat_map(BTreeMap::keys);
@@ -79,13 +79,13 @@
         self.windows.is_empty()
     }
 
-    /// The same counts in pieces of at most so many accounts.
+    /// Splits the counts into pieces of at most `max_accounts` accounts.
     #[must_use]
-    pub fn split(&self, most: usize) -> Vec<Self> {
+    pub fn split(&self, max_accounts: usize) -> Vec<Self> {
         let mut pieces = Vec::new();
         for (window, counts) in &self.windows {
             let accounts: Vec<(&CompactString, &u32)> = counts.iter().collect();
-            for piece in accounts.chunks(most.max(1)) {
+            for piece in accounts.chunks(max_accounts.max(1)) {
                 let counts = piece.iter().map(|(name, count)| ((*name).clone(), **count)).collect();
                 pieces.push(Self { windows: BTreeMap::from([(*window, counts)]) });
             }
@@ -93,7 +93,7 @@
         pieces
     }
 
-    /// Takes over what another copy of the same counts says; counts only grow.
+    /// Merges another copy of the same counts. The higher count wins, since counts only grow.
     pub fn merge(&mut self, other: &Self) {
         for (window, counts) in &other.windows {
             let mine = self.windows.entry(*window).or_default();
@@ -108,31 +108,31 @@
     }
 }
 
-/// The counts of all entries, as one of them knows them.
+/// The counts of all entries that one entry knows of.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// By start of an entry.
+    /// By boot id (one for each process start of an entry).
     by_boot: HashMap<u64, Counts>,
 }
 
 impl Tally {
-    /// Counts one request of an account at this start of this entry.
+    /// Counts one request of an account for a boot id.
     pub fn add(&mut self, boot: u64, window: u64, account: &str) {
         self.by_boot.entry(boot).or_default().add(window, account);
     }
 
-    /// What one start of an entry has counted in its newest windows.
+    /// Returns the counts of one boot id in its newest windows.
     #[must_use]
     pub fn newest_of(&self, boot: u64, windows: usize) -> Counts {
         self.by_boot.get(&boot).map(|counts| counts.newest(windows)).unwrap_or_default()
     }
 
-    /// Takes over what an entry told of its own counts.
+    /// Merges counts that were received from the entry with this boot id.
     pub fn merge(&mut self, boot: u64, counts: &Counts) {
         self.by_boot.entry(boot).or_default().merge(counts);
     }
 
-    /// All entries' counts of the newest windows.
+    /// Returns all entries' counts of the newest windows, by boot id.
     #[must_use]
     pub fn newest(&self, windows: usize) -> BTreeMap<u64, Counts> {
         let last = self.by_boot.values().filter_map(|counts| counts.windows.last_key_value());
@@ -142,7 +142,7 @@
         newest.filter(|(_, counts)| !counts.is_empty()).collect()
     }
 
-    /// All entries' counts of a window and all later ones, to be saved.
+    /// Returns the stored form of all entries' counts from the window `first` on.
     #[must_use]
     pub fn save(&self, first: u64) -> delivery::SavedCounts {
         let mut indices: HashMap<&CompactString, u32> = HashMap::new();
@@ -163,7 +163,7 @@
         saved
     }
 
-    /// Takes over counts that were saved.
+    /// Merges stored counts.
     pub fn load(&mut self, saved: &delivery::SavedCounts) {
         for delivery::SavedWindow(boot, window, row) in &saved.starts {
             let named = row.iter().filter_map(|(index, count)| {
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Takes over counts by start of an entry, as [`Tally::newest`] gave them.
-    pub fn merge_all(&mut self, saved: BTreeMap<u64, Counts>) {
-        for (boot, counts) in saved {
+    /// Merges counts by boot id, as [`Tally::newest`] returns them.
+    pub fn merge_all(&mut self, counts_by_boot: BTreeMap<u64, Counts>) {
+        for (boot, counts) in counts_by_boot {
             self.merge(boot, &counts);
         }
     }
 
-    /// All entries' counts of a window.
+    /// Sums all entries' counts of a window, by account.
     #[must_use]
     pub fn sum(&self, window: u64) -> BTreeMap<CompactString, u32> {
         let mut sum: BTreeMap<CompactString, u32> = BTreeMap::new();
@@ -193,7 +193,7 @@
         sum
     }
 
-    /// Forgets entries that have counted nothing since this window.
+    /// Evicts entries that have counted nothing since this window.
     pub fn forget_before(&mut self, window: u64) {
         self.by_boot.retain(|_, counts| {
             counts.windows.last_key_value().is_some_and(|(last, _)| *last >= window)
