--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -1,6 +1,6 @@
-//! Billing by the holder of the duties: windows are sealed in the store and then reported, so that
-//! every holder reports the same figures however often a report is sent. Counts of open windows are
-//! saved, so that they outlast the death of all entries.
+//! Billing by the duty holder. A window's counts are sealed in the store and then reported, so that every
+//! holder reports the same figures for a window, also when a report is sent again. Counts of open windows
+//! are saved in the store, so that they survive the death of all entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,33 +14,33 @@
 use crate::store::Condition;
 
 const SEALS_KEY: &str = "briarwinch-usage/sealed";
-/// A call under a duty takes at most this; so much of the term has to be left.
+/// Maximum duration of a call under the lease; a call starts only while at least this much of the term
+/// remains.
 const CALL_MS: u64 = 1_300;
-/// Peers that a new holder asks for counts: entries that have ended sent theirs to the holder of their time and
-/// the next in line, and while the store is away nobody else has them.
-const KEEPERS: usize = 4;
-/// Seals kept in the store; a report is due two windows after a window's end.
+/// Number of peers that a new holder asks for counts. Entries that have ended sent theirs to the holder at
+/// that time and the entries next in line, and while the store is unavailable no one else has them.
+const COLLECTORS: usize = 4;
+/// Number of sealed windows kept in the store; a report is due two windows after a window's end.
 const KEPT_SEALS: usize = 8;
 
 /// The final figures of a billing window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedWindow {
     pub window: u64,
-    /// Requests that began to run, by client account.
+    /// Number of requests that began to run, by client account.
     pub counts: BTreeMap<CompactString, u32>,
 }
 
-/// Pause after the store failed a call of billing.
+/// Pause after a failed call to the store or the platform.
 const RETRY_MS: u64 = 500;
-/// How often the counts of windows that are still open are written, at most: what is lost when all
-/// entries die at once is this much of a window of five seconds, below the tolerance of a
-/// twentieth.
-const SAVE_MS: u64 = 200;
-/// Bytes a second that these writes may come to; with many entries they come less often.
+/// Minimum interval between two writes of the open windows' counts. If all entries die at once, the counts
+/// of this interval are lost: less than the tolerance of a twentieth of a five-second window.
+const SAVE_INTERVAL_MS: u64 = 200;
+/// Maximum rate of these writes in bytes; with many entries the interval grows.
 const SAVE_BYTES_PER_S: u64 = 150_000;
 const OPEN_KEY: &str = "briarwinch-usage/open";
 
-/// Counts that outlast the death of all entries.
+/// The counts of open windows in the store.
 #[derive(Debug, Default)]
 struct Saved {
     version: u64,
@@ -48,24 +48,24 @@
     next_ms: u64,
 }
 
-/// Billing, as the holder of the duties knows it.
+/// Billing state of the duty holder.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct Billing {
-    /// What was saved of open windows, once read.
+    /// The stored counts of open windows; none until they are read.
     saved: Option<Saved>,
-    /// Nothing is tried before this time.
+    /// Time before which no call is made.
     retry_ms: u64,
-    /// What the store holds, once read, with its version.
+    /// The sealed windows in the store with the object's version; none until they are read.
     seals: Option<(u64, Vec<SealedWindow>)>,
     reported: BTreeSet<u64>,
-    /// Those that kept counts before this holder did were asked for them.
-    has_gathered: bool,
-    /// When this holder began to bill.
+    /// Whether the former collectors were asked for their counts.
+    has_gathered_counts: bool,
+    /// Time at which this holder began to bill.
     since_ms: Option<u64>,
 }
 
 impl Billing {
-    /// Seals or reports the next window that is due.
+    /// Saves the open counts, then seals or reports the next window that is due.
     pub(in crate::gateway) async fn tick<P: Platform>(
         &mut self,
         control: &Control<P>,
@@ -79,20 +79,20 @@
         if now_ms < self.retry_ms {
             return election::Tick::Done;
         }
-        let is_read = (self.saved.is_some() || self.load(control).await)
-            && (self.seals.is_some() || self.read(control).await);
+        let is_read = (self.saved.is_some() || self.load_counts(control).await)
+            && (self.seals.is_some() || self.read_seals(control).await);
         if !is_read {
             self.retry_ms = now_ms + RETRY_MS;
             return election::Tick::Done;
         }
-        if !self.has_gathered {
-            self.has_gathered = true;
-            let peers = control.exchange.borrow().peers.strongest(KEEPERS, now_ms);
+        if !self.has_gathered_counts {
+            self.has_gathered_counts = true;
+            let peers = control.exchange.borrow().peers.strongest(COLLECTORS, now_ms);
             pulls::gather_counts(control, &peers).await;
             return election::Tick::Done;
         }
-        self.save(control).await;
-        if let Some(sealed) = self.due(control) {
+        self.save_counts(control).await;
+        if let Some(sealed) = self.due_window(control) {
             self.seal(control, sealed).await;
             return election::Tick::Again;
         }
@@ -128,46 +128,48 @@
         }
     }
 
-    async fn read<P: Platform>(&mut self, control: &Control<P>) -> bool {
+    async fn read_seals<P: Platform>(&mut self, control: &Control<P>) -> bool {
         match control.platform.get(SEALS_KEY).await {
             Ok(None) => self.seals = Some((0, Vec::new())),
             Ok(Some(object)) => {
                 let seals = serde_json::from_str(&object.value).unwrap_or_else(|error| {
-                    slog::error!(control.log, "seals not readable"; "error" => error.to_string());
+                    slog::error!(control.log, "stored sealed windows cannot be decoded";
+                        "error" => error.to_string());
                     Vec::new()
                 });
                 self.seals = Some((object.version, seals));
             }
             Err(failure) => {
-                slog::info!(control.log, "seals not read"; "failure" => failure.to_string());
+                slog::info!(control.log, "reading sealed windows failed";
+                    "failure" => failure.to_string());
                 return false;
             }
         }
         true
     }
 
-    /// The next window that is over and not sealed.
-    fn due<P>(&self, control: &Control<P>) -> Option<SealedWindow> {
+    /// Returns the next window that is over, not sealed yet, and complete enough to be sealed.
+    fn due_window<P>(&self, control: &Control<P>) -> Option<SealedWindow> {
         let (_, seals) = self.seals.as_ref()?;
         let window_ms = control.shared.window_ms();
         let (now_ms, unix_ms) = (control.now_ms(), control.shared.time.unix_ms());
         let last = (unix_ms / window_ms).checked_sub(1)?;
         let tally = control.shared.tally();
-        // What was counted later for a window that is sealed is not added: a report never changes.
+        // Counts that arrive after a window's seal are not added: a report never changes.
         let first = first_unsealed(seals).max(last.saturating_sub(KEPT_SEALS as u64 / 2));
         let (window, counts) = (first..=last)
             .map(|window| (window, tally.sum(window)))
             .find(|(_, counts)| !counts.is_empty())?;
         let end_ms = (window + 1) * window_ms;
-        // Those that vanished since the window began may only be cut off, and are waited for as well.
+        // Entries that vanished since the window began may only be cut off, so the seal waits for them too.
         let since_ms = now_ms.saturating_sub(unix_ms.saturating_sub(window * window_ms));
-        let is_settled_here = control.shared.settled_ms() >= end_ms;
+        let is_complete_here = control.shared.settled_ms() >= end_ms;
         let exchange = control.exchange.borrow();
         let is_due = control.watermarks.borrow().may_seal(
             end_ms,
             unix_ms,
             now_ms.saturating_sub(self.since_ms.unwrap_or(now_ms)),
-            is_settled_here,
+            is_complete_here,
             exchange.peers.boots_since(since_ms),
         );
         is_due.then_some(SealedWindow { window, counts })
@@ -185,7 +187,7 @@
         let value = serde_json::to_string(&seals).unwrap_or_default();
         match control.platform.put(SEALS_KEY, value, condition).await {
             Ok(version) => self.seals = Some((version, seals)),
-            // Read again before anything else: the write may have been done, or another came first.
+            // The seals are read again first: the write may have taken effect, or another one came first.
             Err(failure) => {
                 self.retry_ms = control.now_ms() + RETRY_MS;
                 slog::info!(control.log, "window not sealed"; "failure" => failure.to_string());
@@ -193,30 +195,31 @@
         }
     }
 
-    /// Takes up what former holders saved: counts of entries that may all be dead.
-    async fn load<P: Platform>(&mut self, control: &Control<P>) -> bool {
+    /// Loads the counts that former holders saved; all entries that counted them may be dead.
+    async fn load_counts<P: Platform>(&mut self, control: &Control<P>) -> bool {
         match control.platform.get(OPEN_KEY).await {
             Ok(None) => self.saved = Some(Saved::default()),
             Ok(Some(object)) => {
                 match serde_json::from_str(&object.value) {
                     Ok(saved) => control.shared.tally().load(&saved),
                     Err(error) => {
-                        slog::error!(control.log, "saved counts not readable";
+                        slog::error!(control.log, "stored usage counts cannot be decoded";
                             "error" => error.to_string());
                     }
                 }
                 self.saved = Some(Saved { version: object.version, ..Saved::default() });
             }
             Err(failure) => {
-                slog::info!(control.log, "saved counts not read"; "failure" => failure.to_string());
+                slog::info!(control.log, "reading saved usage counts failed";
+                    "failure" => failure.to_string());
                 return false;
             }
         }
         true
     }
 
-    /// Saves the counts of the windows that are not sealed, if they have changed.
-    async fn save<P: Platform>(&mut self, control: &Control<P>) {
+    /// Saves the counts of the windows that are not sealed, if they have changed and the interval has passed.
+    async fn save_counts<P: Platform>(&mut self, control: &Control<P>) {
         let now_ms = control.now_ms();
         let Some(saved) = self.saved.as_mut().filter(|saved| now_ms >= saved.next_ms) else {
             return;
@@ -230,7 +233,7 @@
         let condition = Condition::at(saved.version);
         match control.platform.put(OPEN_KEY, text.clone(), condition).await {
             Ok(version) => {
-                let pause_ms = SAVE_MS.max(text.len() as u64 * 1_000 / SAVE_BYTES_PER_S);
+                let pause_ms = SAVE_INTERVAL_MS.max(text.len() as u64 * 1_000 / SAVE_BYTES_PER_S);
                 *saved = Saved { version, text, next_ms: now_ms + pause_ms };
             }
             Err(failure) => {
@@ -242,7 +245,7 @@
     }
 }
 
-/// The first window after those that are sealed.
+/// Returns the first window after all sealed ones.
 fn first_unsealed(seals: &[SealedWindow]) -> u64 {
     seals.iter().map(|sealed| sealed.window + 1).max().unwrap_or(0)
 }
