--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -1,12 +1,12 @@
-//! How many endpoints run: the holder of the duties orders numbers by service and availability zone.
+//! Autoscaling by the duty holder: it orders the number of endpoints by service and availability zone.
 //!
-//! The load pattern: demand that doubles within a minute and falls back, while each endpoint costs
-//! money for every second and takes its time to start. What is needed is read off the work under way
-//! at the zone's endpoints; [`crate::scaling`] plans on it, starting early and stopping late.
+//! Demand may double within a minute and fall back, while each endpoint costs money for every second and
+//! takes time to start. The demand is derived from the work in progress at the zone's endpoints;
+//! [`crate::scaling`] plans on it, and starts endpoints early and stops them late.
 //!
-//! The platform tells nobody what was ordered. So each number is written to the store before it is
-//! ordered, and a new holder goes on from there: counting the live endpoints instead, it would take
-//! back what is still starting.
+//! The platform does not tell which numbers were ordered. So each number is written to the store before it
+//! is ordered, and a new holder continues from there. If it counted the live endpoints instead, it would
+//! cancel those that are still starting.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -22,24 +22,25 @@
 use crate::{config, lease};
 
 const ORDERS_KEY: &str = "briarwinch-scaling/orders";
-/// How often numbers are planned anew.
-const PLAN_MS: u64 = 500;
-/// Pause after the store or the platform failed a call.
+/// Interval between two plans.
+const PLAN_INTERVAL_MS: u64 = 500;
+/// Pause after a failed call to the store or the platform.
 const RETRY_MS: u64 = 500;
-/// A call under a duty takes at most this; so much of the term has to be left.
+/// Maximum duration of a call under the lease; a call starts only while at least this much of the term
+/// remains.
 const CALL_MS: u64 = 1_300;
-/// A prompt that waits this long to be read keeps an endpoint as busy as full slots do: the shortest
-/// latency targets are about as long.
-const BUSY_WAIT_MS: f64 = 300.0;
+/// Prompt-processing backlog that counts as much as full slots: about as long as the shortest latency
+/// targets.
+const BUSY_BACKLOG_MS: f64 = 300.0;
 
-/// What is ordered together.
+/// What an order sets the number of endpoints for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
     pub service: CompactString,
     pub zone: CompactString,
 }
 
-/// A number of endpoints that is ordered.
+/// The number of endpoints ordered for a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     #[serde(rename = "subject")]
@@ -47,20 +48,21 @@
     pub count: u32,
 }
 
-/// Slots' worth of work at an endpoint: requests under way, or the prompts that wait there.
+/// Returns the work at an endpoint in slots: its requests in progress, or its prompt backlog if that counts
+/// for more.
 #[must_use]
 pub fn busy_slots(work: load::Work, slots: u32, reading: &reading::Reading) -> f64 {
-    let read = reading.ms(work.unread_tokens) / BUSY_WAIT_MS * f64::from(slots);
-    f64::from(work.requests).max(read)
+    let backlog = reading.ms(work.unread_tokens) / BUSY_BACKLOG_MS * f64::from(slots);
+    f64::from(work.requests).max(backlog)
 }
 
-/// What the store holds of orders, and whether the platform has taken them.
+/// The orders in the store, and which of them the platform has accepted.
 #[derive(Debug, Default)]
 struct Ordered {
     version: u64,
     orders: Vec<Order>,
-    /// Not known to be taken by the platform.
-    open: BTreeSet<Target>,
+    /// Targets whose order the platform is not known to have accepted.
+    pending: BTreeSet<Target>,
 }
 
 impl Ordered {
@@ -70,12 +72,12 @@
 
     fn set(&mut self, order: Order) {
         self.orders.retain(|one| one.target != order.target);
-        self.open.insert(order.target.clone());
+        self.pending.insert(order.target.clone());
         self.orders.push(order);
     }
 }
 
-/// Scaling, as the holder of the duties knows it.
+/// Autoscaling state of the duty holder.
 #[derive(Debug, Default)]
 pub(in crate::gateway) struct Scaling {
     planners: HashMap<Target, Planner>,
@@ -100,18 +102,18 @@
         let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
             return election::Tick::Done;
         };
-        self.next_ms = now_ms + PLAN_MS;
-        if self.ordered.is_none() && !self.read(control).await {
+        self.next_ms = now_ms + PLAN_INTERVAL_MS;
+        if self.ordered.is_none() && !self.read_orders(control).await {
             return election::Tick::Done;
         }
-        let open = self.ordered.as_ref().and_then(|ordered| {
-            let target = ordered.open.first()?;
+        let pending = self.ordered.as_ref().and_then(|ordered| {
+            let target = ordered.pending.first()?;
             Some(Order { target: target.clone(), count: ordered.count(target)? })
         });
-        match open {
+        match pending {
             Some(order) => {
                 let holder = Holder { id: control.shared.settings.id.clone(), fence };
-                self.order(control, &holder, order).await;
+                self.send_order(control, &holder, order).await;
                 election::Tick::Again
             }
             None => {
@@ -121,33 +123,36 @@
         }
     }
 
-    async fn read<P: Platform>(&mut self, control: &Control<P>) -> bool {
+    async fn read_orders<P: Platform>(&mut self, control: &Control<P>) -> bool {
         match control.platform.get(ORDERS_KEY).await {
             Ok(None) => self.ordered = Some(Ordered::default()),
             Ok(Some(object)) => {
-                let orders: Vec<Order> = serde_json::from_str(&object.value).unwrap_or_else(|error| {
-                    slog::error!(control.log, "orders not readable"; "error" => error.to_string());
-                    Vec::new()
-                });
-                // The former holder may have ended between writing and ordering.
-                let open = orders.iter().map(|order| order.target.clone()).collect();
-                self.ordered = Some(Ordered { version: object.version, orders, open });
+                let orders: Vec<Order> =
+                    serde_json::from_str(&object.value).unwrap_or_else(|error| {
+                        slog::error!(control.log, "stored scaling orders cannot be decoded";
+                            "error" => error.to_string());
+                        Vec::new()
+                    });
+                // The former holder may have ended between the write and the order.
+                let pending = orders.iter().map(|order| order.target.clone()).collect();
+                self.ordered = Some(Ordered { version: object.version, orders, pending });
             }
             Err(failure) => {
                 self.next_ms = control.now_ms() + RETRY_MS;
-                slog::info!(control.log, "orders not read"; "failure" => failure.to_string());
+                slog::info!(control.log, "reading scaling orders failed";
+                    "failure" => failure.to_string());
                 return false;
             }
         }
         true
     }
 
-    /// Plans all numbers and writes those that change to the store.
+    /// Plans all targets and writes the changes to the store.
     async fn plan<P: Platform>(&mut self, control: &Control<P>, table: &route::Table) {
         let Some(mut ordered) = self.ordered.take() else {
             return;
         };
-        let changes = self.changes(control, table, &ordered);
+        let changes = self.planned_changes(control, table, &ordered);
         if changes.is_empty() {
             self.ordered = Some(ordered);
             return;
@@ -165,15 +170,16 @@
                 ordered.version = version;
                 self.ordered = Some(ordered);
             }
-            // Read again before anything else: the write may have been done, or another came first.
+            // The orders are read again first: the write may have taken effect, or another one came first.
             Err(failure) => {
                 self.next_ms = control.now_ms() + RETRY_MS;
-                slog::info!(control.log, "orders not written"; "failure" => failure.to_string());
+                slog::info!(control.log, "writing scaling orders failed";
+                    "failure" => failure.to_string());
             }
         }
     }
 
-    fn changes<P>(
+    fn planned_changes<P>(
         &mut self,
         control: &Control<P>,
         table: &route::Table,
@@ -188,9 +194,9 @@
             };
             let reading = control.shared.reading(&service.name);
             let zones = by_zone(&directory, &service.name);
-            // Turned away, they wait at no endpoint, and what is missing would never be ordered.
-            let away = control.shared.turned_away().count(&service.name, now_ms);
-            let waiting = away / zones.len().max(1) as u32;
+            // Rejected requests are at no endpoint; without them the missing ones would never be ordered.
+            let rejected = control.shared.turned_away().count(&service.name, now_ms);
+            let waiting = rejected / zones.len().max(1) as u32;
             for (zone, endpoints) in zones {
                 let target = Target { service: service.name.clone(), zone };
                 let live = endpoints.len() as u32;
@@ -199,13 +205,14 @@
                 let book = control.shared.book();
                 let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
-                let seen = Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
+                let demand =
+                    Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
                     .planners
                     .entry(target.clone())
                     .or_insert_with(|| Planner::with_start_ms(bounds.start_ms));
                 let limits = config::EndpointBounds { least: bounds.least, most: bounds.most };
-                let count = match planner.plan(seen, limits, now_ms) {
+                let count = match planner.plan(demand, limits, now_ms) {
                     Plan::Start => before + 1,
                     Plan::Stop => before - 1,
                     Plan::Hold => continue,
@@ -216,7 +223,12 @@
         changes
     }
 
-    async fn order<P: Platform>(&mut self, control: &Control<P>, holder: &Holder, order: Order) {
+    async fn send_order<P: Platform>(
+        &mut self,
+        control: &Control<P>,
+        holder: &Holder,
+        order: Order,
+    ) {
         let ordered = control.platform.order_endpoints(holder, &order).await;
         let target = &order.target;
         match ordered {
@@ -225,7 +237,7 @@
                     "zone" => target.zone.as_str(), "count" => order.count,
                     "fence" => holder.fence.0);
                 if let Some(ordered) = &mut self.ordered {
-                    ordered.open.remove(target);
+                    ordered.pending.remove(target);
                 }
             }
             Err(failure) => {
@@ -238,7 +250,8 @@
     }
 }
 
-/// The endpoints of a service that take requests, by zone. A zone whose endpoints all leave stays.
+/// Groups the endpoints of a service that take requests by zone. A zone whose endpoints all leave maps to an
+/// empty list.
 fn by_zone<'a>(
     directory: &'a directory::Directory,
     service: &str,
