--- a/src/gateway/duties/election.rs
+++ b/src/gateway/duties/election.rs
@@ -1,5 +1,5 @@
-//! The contest for the duties of the fleet: whichever entry holds their lease does the billing
-//! and orders the endpoints.
+//! Leader election for the fleet's duties: the entry that holds their lease does the billing and orders the
+//! endpoints.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::{clock, contest, lease};
 
 const LEASE_KEY: &str = "briarwinch-leases/duties";
-/// Terms of the duties. A usage report is due ten seconds after its window, a holder's death in
-/// between included: rivals see the last renewal within 1.3 s, wait 4.4 s, and report. Not shorter:
-/// a holder has to outlast a call of 1.2 s that got no answer, and acts of two holders must lie
-/// three seconds apart.
+/// Timing of the lease. A usage report is due ten seconds after its window, also if the holder dies in
+/// between: contenders read the last renewal within 1.3 s, wait 4.4 s, and report. The term is not shorter,
+/// since a holder must survive an unanswered call of 1.2 s, and the acts of two holders must be three
+/// seconds apart.
 const TERMS: lease::Terms = lease::Terms {
     term_ms: 4_000,
     margin_ms: 400,
@@ -23,27 +23,27 @@
     read_ms: 1_300,
     settle_ms: 300,
 };
-/// Longest pause between two steps.
-const STEP_MS: u64 = 200;
-/// How long no entry may hold the duties before this one contends; the others wait longer by rank,
-/// so that mostly one writes.
+/// Maximum pause between two steps.
+const MAX_PAUSE_MS: u64 = 200;
+/// Time that an entry waits without a known holder before it contends.
 const VACANT_MS: u64 = 300;
+/// Additional wait for each rank, so that usually only one entry writes.
 const VACANT_RANK_MS: u64 = 500;
-/// Entries beside the holder that keep an eye on the lease.
-const STAND_BY: usize = 2;
-/// After a holder gave the lease back, its successor waits. Two holders that stop one after the
-/// other would otherwise act in turns within one term as the platform counts it (three seconds): the
-/// first one's next act lies two such waits after its last.
+/// Number of entries next in line that read the lease while another one holds it.
+const STANDBY_ENTRIES: usize = 2;
+/// Time that a successor waits after the former holder's last act when that one gave the lease back. Two
+/// holders that stop one after the other would otherwise act alternately within one term as the platform
+/// counts it (three seconds): with it, the first one's next act is two such waits after its last.
 const SUCCESSION_MS: u64 = 1_600;
 
-/// Whether a duty was acted on, and more may be due at once.
+/// Outcome of one step of a duty: `Again` if it acted and more may be due at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::gateway) enum Tick {
     Again,
     Done,
 }
 
-/// Contends for the duties and does them while they are held.
+/// Contends for the duties and performs them while this entry holds the lease.
 pub(in crate::gateway) async fn contend<P: Platform>(control: Rc<Control<P>>) {
     let settings = &control.shared.settings;
     let name = format!("{}@{}", settings.id, settings.peer_addr());
@@ -51,9 +51,9 @@
     let mut billing = billing::Billing::default();
     let mut scaling = scaling::Scaling::default();
     let mut vacant_since_ms = None;
-    // The start of another entry that has told of its term, and when it last acted.
-    let mut other_acted: Option<(u64, u64)> = None;
-    let mut quiet_until_ms = 0;
+    // Boot id of another entry that has announced its term, and the time of its last act.
+    let mut other_last_acted: Option<(u64, u64)> = None;
+    let mut act_from_ms = 0;
     loop {
         let now_ms = control.now_ms();
         if control.shared.is_draining() {
@@ -61,23 +61,23 @@
         }
         if let Some((told, at_ms)) = control.received_lease.take() {
             contender.told(told, at_ms);
-            other_acted = Some((told.boot, at_ms.saturating_sub(told.idle_ms)));
+            other_last_acted = Some((told.boot, at_ms.saturating_sub(told.idle_ms)));
         }
         let held = contender.epoch(now_ms).is_some();
-        note_holding(&control, &contender, held);
+        update_own_lease(&control, &contender, held);
         if !contender.is_engaged() && !may_contend(&control, now_ms, &mut vacant_since_ms) {
-            if stands_by(&control, now_ms) && contender.step_aside(now_ms) == lease::Step::Read {
-                read(&control, &mut contender).await;
+            if is_standby(&control, now_ms) && contender.step_aside(now_ms) == lease::Step::Read {
+                read_lease(&control, &mut contender).await;
             }
-            time::sleep(Duration::from_millis(STEP_MS)).await;
+            time::sleep(Duration::from_millis(MAX_PAUSE_MS)).await;
             continue;
         }
         let before = contender.holder().cloned();
         match contender.step(now_ms) {
-            lease::Step::Read => read(&control, &mut contender).await,
-            lease::Step::Write(write) => self::write(&control, &mut contender, write).await,
+            lease::Step::Read => read_lease(&control, &mut contender).await,
+            lease::Step::Write(write) => write_lease(&control, &mut contender, write).await,
             lease::Step::WaitUntil(at_ms) => {
-                let pause_ms = at_ms.saturating_sub(control.now_ms()).clamp(1, STEP_MS);
+                let pause_ms = at_ms.saturating_sub(control.now_ms()).clamp(1, MAX_PAUSE_MS);
                 time::sleep(Duration::from_millis(pause_ms)).await;
             }
         }
@@ -85,11 +85,11 @@
         if contender.epoch(now_ms).is_some() && !held {
             billing = billing::Billing::default();
             scaling = scaling::Scaling::default();
-            quiet_until_ms =
-                before.map_or(0, |record| quiet_until_ms_after(&record, other_acted, now_ms));
-            note_holding(&control, &contender, true);
+            act_from_ms =
+                before.map_or(0, |record| succession_end_ms(&record, other_last_acted, now_ms));
+            update_own_lease(&control, &contender, true);
         }
-        if now_ms >= quiet_until_ms {
+        if now_ms >= act_from_ms {
             while billing.tick(&control, &contender).await == Tick::Again {
                 contender.acted(control.now_ms());
             }
@@ -100,22 +100,22 @@
     }
 }
 
-/// Until when a new holder does nothing, after the record that it replaced.
-fn quiet_until_ms_after(
+/// Returns the time until which a new holder does not act, given the lease record that it replaced.
+fn succession_end_ms(
     replaced: &lease::Record,
-    other_acted: Option<(u64, u64)>,
+    other_last_acted: Option<(u64, u64)>,
     now_ms: u64,
 ) -> u64 {
     if replaced.term_ms > 0 {
         return 0;
     }
-    // One that has not told may have acted just now.
-    let told = other_acted.filter(|(boot, _)| *boot == replaced.boot);
-    told.map_or(now_ms, |(_, acted_ms)| acted_ms) + SUCCESSION_MS
+    // A former holder that has not announced its term may have acted just now.
+    let announced = other_last_acted.filter(|(boot, _)| *boot == replaced.boot);
+    announced.map_or(now_ms, |(_, acted_ms)| acted_ms) + SUCCESSION_MS
 }
 
-/// Notes what the other entries are told of the lease, and whether it is held here.
-fn note_holding<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
+/// Updates what this entry announces about the lease, and whether it holds it.
+fn update_own_lease<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
     let now_ms = control.now_ms();
     control.own_lease.set(contender.tells(now_ms).map(|told| (told, now_ms)));
     if control.holds_duties.replace(held) != held {
@@ -123,12 +123,12 @@
     }
 }
 
-/// Whether this entry is one of the next in line for the duties.
-fn stands_by<P>(control: &Control<P>, now_ms: u64) -> bool {
-    control.shared.is_ready() && control.exchange.borrow().peers.rank(now_ms) <= STAND_BY
+/// Whether this entry is next in line for the duties, so that it keeps reading the lease.
+fn is_standby<P>(control: &Control<P>, now_ms: u64) -> bool {
+    control.shared.is_ready() && control.exchange.borrow().peers.rank(now_ms) <= STANDBY_ENTRIES
 }
 
-/// Whether this entry contends: nobody is heard to hold the duties, and it is this one's turn.
+/// Whether this entry contends now: no holder is known, and its wait by rank is over.
 fn may_contend<P>(control: &Control<P>, now_ms: u64, vacant_since_ms: &mut Option<u64>) -> bool {
     let peers = &control.exchange.borrow().peers;
     if !control.shared.is_ready() || peers.holder(now_ms).is_some() {
@@ -139,16 +139,16 @@
     now_ms >= since_ms + VACANT_MS + peers.rank(now_ms) as u64 * VACANT_RANK_MS
 }
 
-async fn read<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
+async fn read_lease<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
     let read = contest::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
     let is_read = read.is_ok();
     if control.is_lease_readable.replace(is_read) != is_read {
-        slog::info!(control.log, "lease"; "readable" => is_read,
+        slog::info!(control.log, "duties lease readability changed"; "readable" => is_read,
             "failure" => read.err().map(|failure| failure.to_string()));
     }
 }
 
-async fn write<P: Platform>(
+async fn write_lease<P: Platform>(
     control: &Control<P>,
     contender: &mut lease::Contender,
     write: lease::Write,
@@ -161,5 +161,5 @@
     }
 }
 
-/// A peer that is gone no longer holds the duties for this entry.
+/// A peer that is considered gone is no longer considered the holder.
 const _: () = assert!(peers::GONE_MS < TERMS.term_ms, "a vacancy is noticed within a term");
