--- a/src/gateway/reload.rs
+++ b/src/gateway/reload.rs
@@ -1,5 +1,5 @@
-//! Follows the settings file: after a hang-up signal, and from time to time, since it may change
-//! without one. Addresses and names hold for a process's life; the retry budget may change.
+//! Reloads the settings file on a hang-up signal, and at a fixed interval since it may change without one.
+//! Only the retry budget takes effect at run time; addresses and names need a restart.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 use super::{settings, shared};
 use crate::settings as files;
 
-/// How often the file is read without a signal.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval at which the file is read without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Listens for hang-up signals from now on: until then one ends the process.
+/// Installs the handler for hang-up signals. Before this call such a signal ends the process.
 pub fn hangup_signals(log: &slog::Logger) -> Option<Signal> {
     signal(SignalKind::hangup())
         .inspect_err(|error| {
-            slog::error!(log, "hang-up signals are not seen"; "error" => error.to_string());
+            slog::error!(log, "cannot handle hang-up signals"; "error" => error.to_string());
         })
         .ok()
 }
 
-/// Follows the file for as long as the process lives.
+/// Reloads the file for as long as the process lives.
 pub async fn follow(
     shared: Arc<shared::Shared>,
     file: PathBuf,
@@ -32,34 +32,36 @@
 ) {
     let mut known = shared.settings.clone();
     loop {
-        let hung_up = match &mut hangup_signals {
-            Some(hangup_signals) => time::timeout(LOOK, hangup_signals.recv()).await.is_ok(),
+        let is_signaled = match &mut hangup_signals {
+            Some(hangup_signals) => {
+                time::timeout(POLL_INTERVAL, hangup_signals.recv()).await.is_ok()
+            }
             None => {
-                time::sleep(LOOK).await;
+                time::sleep(POLL_INTERVAL).await;
                 false
             }
         };
-        take(&shared, &file, &log, &mut known, hung_up);
+        reload(&shared, &file, &log, &mut known, is_signaled);
     }
 }
 
-fn take(
+fn reload(
     shared: &shared::Shared,
     file: &Path,
     log: &slog::Logger,
     known: &mut settings::Gateway,
-    hung_up: bool,
+    is_signaled: bool,
 ) {
     let settings: settings::Gateway = match files::load(file) {
         Ok(settings) => settings,
         Err(error) => {
-            slog::error!(log, "settings not taken"; "error" => format!("{error:#}"));
+            slog::error!(log, "settings file rejected"; "error" => format!("{error:#}"));
             return;
         }
     };
     let is_changed = settings != *known;
-    if is_changed || hung_up {
-        slog::info!(log, "settings read"; "changed" => is_changed, "signal" => hung_up);
+    if is_changed || is_signaled {
+        slog::info!(log, "settings read"; "changed" => is_changed, "signal" => is_signaled);
         *shared.retries() = settings.retries;
         *known = settings;
     }
