--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,6 +1,5 @@
-//! The control thread of a forwarding entry: follows the store, exchanges state with the other
-//! entries, contends for the duties, and hands snapshots to the traffic thread. Nothing on a
-//! request's path waits for it.
+//! The control thread of a forwarding entry: follows the store, exchanges state with the other entries,
+//! contends for the duties, and publishes snapshots for the traffic thread. No request waits for it.
 
 mod restrictions;
 
@@ -22,21 +21,21 @@
 use super::{directory, evacuation, request, route, shared, watch};
 use crate::{bound, clock, lease, seal, store};
 
-/// What is followed in the store.
+/// A kind of objects that is followed in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// The operators' configuration.
+    /// The configuration by the operators.
     Config,
     /// The endpoints.
     Endpoints,
-    /// The availability zones that are evacuated.
+    /// The evacuated availability zones.
     Evacuations,
 }
 
-/// What is followed where zones may be evacuated; elsewhere the last is left out.
+/// All topics; the last one is followed only where zones may be evacuated.
 const TOPICS: [Topic; 3] = [Topic::Config, Topic::Endpoints, Topic::Evacuations];
 
-/// Something that the store holds, decoded.
+/// A decoded object or change from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
     Config(Box<route::Parts>),
@@ -44,43 +43,43 @@
     Evacuation(evacuation::Change),
 }
 
-/// What a list or a watch brought.
+/// The result of a list or a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The store's revision as of which this holds; a watch goes on from here.
+    /// The store's revision of this result; the next watch continues from it.
     pub revision: u64,
     pub items: Vec<Item>,
 }
 
-/// Why a watch brought nothing.
+/// Why a watch failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchFailure {
-    /// The store has dropped the changes since that revision: list again.
+    /// The store no longer has all changes since the given revision; the topic must be listed again.
     HistoryGone,
     Failed(store::Failure),
 }
 
-/// Who acts under a duty.
+/// The duty holder on whose behalf a call is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
     pub id: CompactString,
-    /// Grows with each change of holder.
+    /// Fencing token; grows with each change of holder.
     pub fence: lease::Epoch,
 }
 
-/// The platform as the control thread uses it: the port that an adapter fills.
+/// The platform as the control thread uses it: the port that an adapter implements.
 #[expect(async_fn_in_trait, reason = "all users run on one thread and need no Send")]
 pub trait Platform: store::ObjectStore {
-    /// Lists all of a topic.
+    /// Lists all objects of a topic.
     async fn list_all(&self, topic: Topic) -> Result<Batch, store::Failure>;
 
-    /// Asks the store for a sign of life, at little cost.
+    /// Checks with a cheap call that the store answers.
     async fn probe(&self) -> Result<(), store::Failure>;
 
-    /// Waits for changes of a topic after a revision.
+    /// Waits up to `wait_ms` for changes of a topic after the revision `from`.
     async fn watch(&self, topic: Topic, from: u64, wait_ms: u64) -> Result<Batch, WatchFailure>;
 
-    /// Asks an engine which prompt parts it holds.
+    /// Asks an engine which prompt parts its prefix cache holds.
     async fn held_parts(
         &self,
         engine: &directory::Endpoint,
@@ -93,7 +92,7 @@
         seal: &billing::SealedWindow,
     ) -> Result<(), store::Failure>;
 
-    /// Orders how many endpoints of a service run in a zone.
+    /// Orders the number of endpoints of a service in a zone.
     async fn order_endpoints(
         &self,
         holder: &Holder,
@@ -111,48 +110,49 @@
     pub(super) table: RefCell<Option<Arc<route::Table>>>,
     pub(super) directory: RefCell<directory::Directory>,
     pub(super) evacuations: RefCell<evacuation::Evacuations>,
-    /// Zones that were taken back just now, and when.
-    taken_back: RefCell<HashMap<CompactString, u64>>,
-    /// Wakes watches that wait at a store which no longer answers.
+    /// Zones whose evacuation ended recently, with the time.
+    reinstated_at_ms: RefCell<HashMap<CompactString, u64>>,
+    /// Wakes watches that wait for a store that no longer answers.
     pub(super) store_silent: Notify,
     pub(super) exchange: RefCell<exchange::Exchange>,
-    /// This entry's counts on their way to those who bill.
+    /// Delivers this entry's counts to the collectors.
     pub(super) outbox: RefCell<delivery::Outbox>,
-    /// Up to when the other entries have counted.
+    /// Time up to which the counts of each other entry are complete.
     pub(super) watermarks: RefCell<delivery::Watermarks>,
     pub(super) sharers: Cell<budget::Sharers>,
     pub(super) socket: UdpSocket,
-    /// This entry holds the duties.
+    /// Whether this entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
-    /// What the others are told of a lease held here, as of a time.
+    /// The announcement of a lease held here, with its time.
     pub(super) own_lease: Cell<Option<(lease::Told, u64)>>,
-    /// The newest that is known of another's lease, and since when, to be passed on.
+    /// The newest announcement of another entry's lease, with its time of receipt, to be relayed.
     pub(super) relayed_lease: Cell<Option<(lease::Told, u64)>>,
-    /// What a holder has told last, and when.
+    /// The last announcement by a holder that the election has not processed yet, with its time of receipt.
     pub(super) received_lease: Cell<Option<(lease::Told, u64)>>,
-    /// The store answered the last read of the lease.
+    /// Whether the store answered the last read of the lease.
     pub(super) is_lease_readable: Cell<bool>,
-    /// What this entry has of what those before it knew.
+    /// How far this entry has recovered the state that its peers have from before its start.
     pub(super) remembered: RefCell<pulls::Remembered>,
     has_endpoint_list: Cell<bool>,
-    /// Topics that this start of the entry has not listed at the store yet.
+    /// Number of topics that this process has not listed in the store yet.
     pub(super) topics_to_list: Cell<usize>,
-    /// Topics whose last call the store failed, in the order in which they failed first.
+    /// Topics whose last call to the store failed, in the order of their first failure.
     failing_topics: RefCell<Vec<Topic>>,
-    /// Wakes what waits for the store to answer again.
+    /// Wakes the topics that wait until the store answers again.
     store_regained: Notify,
 }
 
-/// Zones from which on one reader each is enough: while it is gone, the others' readers tell its zone.
+/// Number of zones from which one reader in each is enough: while it is gone, the readers of other zones
+/// inform its zone.
 const MANY_ZONES: usize = 3;
-/// Entries of a zone that look for the store's return often.
-const FIRST_READERS: usize = 2;
-/// While one topic looks for the store's return, the others wait for so long at least.
-const SECOND_TOPIC: Duration = Duration::from_secs(3);
+/// Number of entries of a zone that retry a failed store frequently.
+const FREQUENT_READERS: usize = 2;
+/// While the topic that failed first retries the store, the others wait this long or longer for its success.
+const OTHER_TOPICS_WAIT: Duration = Duration::from_secs(3);
 /// Exit code of an entry whose control thread has ended.
 const EXIT_CONTROL: i32 = 70;
 
-/// Starts the control thread; it ends with the process, and the process with it.
+/// Starts the control thread. The process exits if the thread ends.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -168,7 +168,8 @@
         if let Err(error) = outcome {
             slog::crit!(log, "control thread ended"; "error" => format!("{error:#}"));
         }
-        // Traffic would go on by what was known last, for ever. Ended, the entry is replaced.
+        // Without this thread, traffic would use the last known state forever. After the exit the platform
+        // replaces the entry.
         std::process::exit(EXIT_CONTROL);
     })?;
     Ok(())
@@ -191,7 +192,7 @@
         table: RefCell::default(),
         directory: RefCell::default(),
         evacuations: RefCell::default(),
-        taken_back: RefCell::default(),
+        reinstated_at_ms: RefCell::default(),
         store_silent: Notify::new(),
         socket: UdpSocket::from_std(sockets.udp)?,
         holds_duties: Cell::new(false),
@@ -241,7 +242,7 @@
         clock::boot_ms()
     }
 
-    /// Notes whether the store answered a call for a topic.
+    /// Records whether the store answered a call for a topic.
     pub(super) fn record_store_call(&self, topic: Topic, is_good: bool) {
         let mut failing = self.failing_topics.borrow_mut();
         let is_failing = failing.contains(&topic);
@@ -253,29 +254,31 @@
         }
     }
 
-    /// Whether the store answered the last calls.
+    /// Whether the store answered the last call of every topic.
     pub(super) fn is_store_available(&self) -> bool {
         self.failing_topics.borrow().is_empty()
     }
 
-    /// Waits until the store has answered a call for another topic, where that one failed first; for so long
-    /// at most. So an outage costs one call at a time, not one for each topic.
-    pub(super) async fn wait_to_retry(&self, topic: Topic, most: Duration) {
+    /// Waits before the next call for a failed topic. The topic that failed first waits for `pause`. The
+    /// others wait until the store answers a call, at most for the longer of `pause` and
+    /// `OTHER_TOPICS_WAIT`. So an outage costs one call at a time, not one for each topic.
+    pub(super) async fn wait_to_retry(&self, topic: Topic, pause: Duration) {
         let is_first = self.failing_topics.borrow().first() == Some(&topic);
         if is_first {
-            time::sleep(most).await;
+            time::sleep(pause).await;
         } else {
-            let _ = time::timeout(most.max(SECOND_TOPIC), self.store_regained.notified()).await;
+            let _ =
+                time::timeout(pause.max(OTHER_TOPICS_WAIT), self.store_regained.notified()).await;
         }
     }
 
-    /// Whether enough others of this zone would read the store before this entry.
+    /// Whether enough other entries of this zone come before this one as readers of the store.
     pub(super) fn is_standby_reader(&self) -> bool {
-        self.exchange.borrow().peers.reading_rank(self.now_ms()) >= FIRST_READERS
+        self.exchange.borrow().peers.reading_rank(self.now_ms()) >= FREQUENT_READERS
     }
 
-    /// Whether this entry reads the store for its zone. The others learn from their aggregator, so that the
-    /// calls to the store grow with the zones and not with the fleet.
+    /// Whether this entry reads the store for its zone. The others receive changes from their zone's
+    /// aggregator, so the load on the store grows with the zones and not with the fleet.
     pub(super) fn reads_store(&self) -> bool {
         let now_ms = self.now_ms();
         let peers = &self.exchange.borrow().peers;
@@ -284,7 +287,7 @@
         peers.readers_before(now_ms) < readers
     }
 
-    /// Takes a configuration, if it is newer than the one in force.
+    /// Applies a configuration if it is newer than the one in force.
     pub(super) fn apply_config(&self, parts: route::Parts, source: &'static str) {
         let known = self.config_version();
         if parts.version <= known {
@@ -296,12 +299,12 @@
         self.publish();
     }
 
-    /// Version of the configuration in force; zero: none.
+    /// Returns the version of the configuration in force, or zero without one.
     pub(super) fn config_version(&self) -> u64 {
         self.table.borrow().as_ref().map_or(0, |table| table.version())
     }
 
-    /// Runs a change on the directory and publishes the outcome if it changed anything.
+    /// Applies a change to the directory, and publishes the result if it differs.
     pub(super) fn update_directory(
         &self,
         source: &'static str,
@@ -334,9 +337,9 @@
             }
         }
         let now_ms = self.now_ms();
-        let is_news =
+        let is_newly_cold =
             |cold: &directory::Cold| before.cold_until_ms(cold.endpoint, now_ms).is_none();
-        for cold in directory.cold(now_ms).into_iter().filter(is_news) {
+        for cold in directory.cold(now_ms).into_iter().filter(is_newly_cold) {
             let id = directory.find(cold.endpoint).map(|endpoint| endpoint.id.as_str());
             slog::info!(self.log, "endpoint cold"; "endpoint" => id, "left_ms" => cold.left_ms,
                 "revision" => directory.revision(), "source" => source);
@@ -348,7 +351,7 @@
         }
     }
 
-    /// Hands what is known to the traffic thread.
+    /// Publishes a snapshot of the current state for the traffic thread.
     fn publish(&self) {
         let table = self.table.borrow().clone();
         let evacuations = self.evacuations.borrow().clone();
@@ -363,7 +366,7 @@
         }
     }
 
-    /// What this start of the entry has counted.
+    /// Returns the counts of this process.
     pub(super) fn own_counts(&self) -> tally::Counts {
         self.shared.tally().newest_of(self.shared.boot, tally::KEPT_WINDOWS as usize)
     }
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -1,12 +1,12 @@
-//! What forbids or bounds sends to endpoints, as the control thread keeps it: evacuated zones, cold endpoints,
-//! and what endpoints say of themselves.
+//! The control thread's restrictions on sends to endpoints: evacuated zones, cold endpoints, and the limits
+//! and departures that endpoints announce.
 
 use crate::gateway::control::Control;
 use crate::gateway::policy::{limits, warmup};
 use crate::gateway::{departures, directory, evacuation, lines, route};
 
 impl<P> Control<P> {
-    /// Runs a change on the evacuated zones and publishes the outcome if it brought anything new.
+    /// Applies a change to the evacuated zones, and publishes the result if it differs.
     pub(in crate::gateway) fn update_evacuations(
         &self,
         source: &'static str,
@@ -18,7 +18,7 @@
         }
         self.log_evacuations(&before, source);
         self.publish();
-        // The other entries send there until they know.
+        // The other entries send to an evacuated zone until they are informed.
         self.shared.news.notify_one();
     }
 
@@ -29,16 +29,18 @@
                 "revision" => now.revision(), "source" => source);
         }
         for zone in before.zones().filter(|zone| !now.has(zone)) {
-            self.taken_back.borrow_mut().insert(zone.clone(), self.now_ms());
+            self.reinstated_at_ms.borrow_mut().insert(zone.clone(), self.now_ms());
             slog::info!(self.log, "zone taken back"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
         }
     }
 
-    /// Publishes anew if other endpoints are cold now, or others are this entry's to keep.
+    /// Publishes a new snapshot if the cold endpoints or this entry's assignment of them have changed.
     pub(in crate::gateway) fn update_warming(&self) {
         let now_ms = self.now_ms();
-        self.taken_back.borrow_mut().retain(|_, at_ms| now_ms < *at_ms + warmup::TAKEN_BACK_MS);
+        self.reinstated_at_ms
+            .borrow_mut()
+            .retain(|_, at_ms| now_ms < *at_ms + warmup::TAKEN_BACK_MS);
         let known = self.shared.snapshot.load();
         let warming = self.warming(known.table.as_deref(), &self.directory.borrow(), now_ms);
         if warming != known.warming {
@@ -46,11 +48,11 @@
         }
     }
 
-    /// Takes what a peer tells of the limits that endpoints have named.
-    pub(in crate::gateway) fn apply_peer_limits(&self, told: &[limits::Told], now_ms: u64) {
+    /// Applies endpoint limits received from a peer.
+    pub(in crate::gateway) fn apply_peer_limits(&self, received: &[limits::Told], now_ms: u64) {
         let directory = self.directory.borrow();
         let mut limits = self.shared.limits();
-        for one in told {
+        for one in received {
             let change = limits.adopt(*one, now_ms);
             if let (Some(change), Some(endpoint)) = (change, directory.find(one.endpoint)) {
                 lines::endpoint_limit(&self.log, &endpoint.id, change, "peer");
@@ -58,15 +60,15 @@
         }
     }
 
-    /// Takes what a peer tells of endpoints that have said that they leave.
+    /// Applies departures of endpoints received from a peer.
     pub(in crate::gateway) fn apply_peer_departures(
         &self,
-        told: &[departures::Departure],
+        received: &[departures::Departure],
         now_ms: u64,
     ) {
         let directory = self.directory.borrow();
         let mut departures = self.shared.departures();
-        for departure in told {
+        for departure in received {
             let is_new = departures.note(*departure, now_ms);
             if let Some(endpoint) = directory.find(departure.endpoint).filter(|_| is_new) {
                 lines::endpoint_leaves(&self.log, endpoint, "peer");
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Deals this entry's shares of the limits that endpoints have named.
+    /// Recomputes this entry's shares of the limits that endpoints have announced.
     pub(in crate::gateway) fn update_limit_shares(&self) {
         let exchange = self.exchange.borrow();
         let directory = self.directory.borrow();
@@ -85,7 +87,7 @@
         });
     }
 
-    /// The endpoints that are cold or may be, with what this entry may send to each.
+    /// Returns the endpoints that are cold or may be, with the rate that this entry may send to each.
     pub(super) fn warming(
         &self,
         table: Option<&route::Table>,
@@ -96,9 +98,9 @@
         let (Some(table), Some(rate)) = (table, self.shared.settings.cold_rate) else {
             return warming;
         };
-        let taken_back = self.taken_back.borrow();
-        // This runs at each tick, and mostly no endpoint is cold.
-        if taken_back.is_empty() && !directory.has_cold(now_ms) {
+        let reinstated_at_ms = self.reinstated_at_ms.borrow();
+        // Fast path: this runs on each tick, and usually no endpoint is cold.
+        if reinstated_at_ms.is_empty() && !directory.has_cold(now_ms) {
             return warming;
         }
         let exchange = self.exchange.borrow();
@@ -106,15 +108,18 @@
             let Some(warm_up) = service.warm_up else { continue };
             let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
             for endpoint in directory.taking(&service.name) {
-                let back_ms =
-                    taken_back.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
-                let Some(until_ms) = directory.cold_until_ms(endpoint.key, now_ms).max(back_ms)
+                let reinstated_until_ms =
+                    reinstated_at_ms.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
+                let Some(until_ms) =
+                    directory.cold_until_ms(endpoint.key, now_ms).max(reinstated_until_ms)
                 else {
                     continue;
                 };
-                let keeps = exchange.keeps(endpoint.key, &endpoint.zone);
-                let allowed =
-                    warmup::Allowed { until_ms, most_per_s: if keeps { most_per_s } else { 0 } };
+                let is_assigned = exchange.keeps(endpoint.key, &endpoint.zone);
+                let allowed = warmup::Allowed {
+                    until_ms,
+                    most_per_s: if is_assigned { most_per_s } else { 0 },
+                };
                 warming.endpoints.insert(endpoint.key, allowed);
             }
         }
