--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -1,4 +1,5 @@
-//! Following a topic of the store: list once, then watch, list again when history is gone.
+//! Follows a topic of the store: lists it once, then watches it, and lists it again when the store no longer
+//! has the history.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,25 +11,25 @@
 use super::{directory, evacuation};
 use crate::store;
 
-/// How often an entry that leaves reading to others looks whether they still do.
-const ASIDE: Duration = Duration::from_millis(400);
-/// Changes of endpoints are gathered for this time, so that many at once cost one call. They serve on for
-/// seconds after they say that they leave.
-const GATHER: Duration = Duration::from_millis(300);
-/// What a watch brings after it has waited for so long has happened just now: what had happened before it
-/// was asked for comes at once, also from a slow store.
+/// Interval at which an entry that does not read the store checks whether it has to.
+const STANDBY_CHECK: Duration = Duration::from_millis(400);
+/// Pause after a change of endpoints, so that a burst of changes costs one call. The delay does no harm:
+/// endpoints that leave keep serving for seconds after they announce it.
+const COALESCE: Duration = Duration::from_millis(300);
+/// A change that a watch returns after waiting at least this long has just happened: earlier changes are
+/// returned at once, also by a slow store.
 const LIVE_MS: u64 = 500;
-/// An entry that has just started knows only after this time whether others read the store.
-const MEET_MS: u64 = 600;
+/// Time after its start before an entry knows whether others read the store.
+const DISCOVERY_MS: u64 = 600;
 
-/// Pause between two signs of life that a reader asks of the store.
+/// Interval between two probes of the store by a reader.
 const PROBE: Duration = Duration::from_millis(500);
 
-/// Asks the store for signs of life while this entry reads it, for as long as the process lives.
+/// Probes the store while this entry reads it, for as long as the process lives.
 ///
-/// A watch that waits cannot tell a store that has nothing new from one that has fallen silent for this
-/// instance alone. Where all readers are hit at once, nobody would take over for as long as watches wait, and
-/// changes would be in force too late everywhere.
+/// A waiting watch cannot distinguish a store without changes from one that has stopped answering this
+/// instance. If that happened to all readers at once, no other entry would take over until the watches time
+/// out, and changes would take effect too late everywhere.
 pub(super) async fn probe<P: Platform>(control: Rc<Control<P>>) {
     loop {
         time::sleep(PROBE).await;
@@ -49,28 +50,28 @@
     let leave_ms = control.shared.settings.leave_ms;
     let mut outage = outage::Outage::new(leave_ms);
     loop {
-        // Each entry reads once for itself: what peers tell at the start may be old.
-        let is_young = control.shared.time.age_ms() < MEET_MS;
-        if from.is_some() && (is_young || !control.reads_store()) {
+        // Each entry reads the topic once by itself: what peers send at its start may be outdated.
+        let is_discovering = control.shared.time.age_ms() < DISCOVERY_MS;
+        if from.is_some() && (is_discovering || !control.reads_store()) {
             control.record_store_call(topic, true);
-            // An outage of long ago says nothing about what vanishes when this entry reads again.
+            // A past outage does not explain endpoints that are missing when this entry reads again.
             outage = outage::Outage::new(leave_ms);
-            time::sleep(ASIDE).await;
+            time::sleep(STANDBY_CHECK).await;
             continue;
         }
-        let asked_ms = control.now_ms();
-        let wait_ms = outage.wait_ms(asked_ms);
-        let brought = match from {
+        let called_ms = control.now_ms();
+        let wait_ms = outage.wait_ms(called_ms);
+        let result = match from {
             None => control.platform.list_all(topic).await.map_err(WatchFailure::Failed),
             Some(revision) => tokio::select! {
-                brought = control.platform.watch(topic, revision, wait_ms) => brought,
+                result = control.platform.watch(topic, revision, wait_ms) => result,
                 () = control.store_silent.notified() => Err(WatchFailure::Failed(store::Failure::NoAnswer)),
             },
         };
         let now_ms = control.now_ms();
-        let is_good = !matches!(brought, Err(WatchFailure::Failed(_)));
+        let is_good = !matches!(result, Err(WatchFailure::Failed(_)));
         control.record_store_call(topic, is_good);
-        match brought {
+        match result {
             Ok(batch) => {
                 if let Some(away_ms) = outage.answered(now_ms) {
                     slog::info!(control.log, "store regained"; "topic" => format!("{topic:?}"),
@@ -85,12 +86,12 @@
                 let has_changes = !is_list && !batch.items.is_empty();
                 let origin = Origin {
                     is_list,
-                    is_live: !is_list && now_ms >= asked_ms + LIVE_MS,
+                    is_live: !is_list && now_ms >= called_ms + LIVE_MS,
                     keep_until_ms: outage.keep_until_ms(now_ms),
                 };
-                take(&control, topic, batch, origin);
+                apply(&control, topic, batch, origin);
                 if topic == Topic::Endpoints && has_changes {
-                    time::sleep(GATHER).await;
+                    time::sleep(COALESCE).await;
                 }
             }
             Err(WatchFailure::HistoryGone) => {
@@ -105,9 +106,9 @@
                 if failure == store::Failure::Conflict {
                     from = None;
                 }
-                // One that has listed nothing yet cannot serve, and looks as often as the first.
-                let is_behind = has_listed && control.is_standby_reader();
-                let pause_ms = outage.failed(now_ms, is_behind, &mut rand::rng());
+                // An entry that has not listed the topic yet cannot serve, so it retries at the full rate.
+                let is_standby = has_listed && control.is_standby_reader();
+                let pause_ms = outage.failed(now_ms, is_standby, &mut rand::rng());
                 let pause = Duration::from_millis(pause_ms);
                 if has_listed {
                     control.wait_to_retry(topic, pause).await;
@@ -119,17 +120,17 @@
     }
 }
 
-/// Where a batch comes from.
+/// How a batch was obtained.
 #[derive(Clone, Copy, Debug)]
 struct Origin {
     is_list: bool,
-    /// A watch had waited for it, so it happened just now.
+    /// Whether a watch waited for it, so that the changes have just happened.
     is_live: bool,
-    /// Until when an endpoint that is missing is kept.
+    /// Time until which a missing endpoint is kept.
     keep_until_ms: Option<u64>,
 }
 
-fn take<P: Platform>(control: &Control<P>, topic: Topic, batch: Batch, origin: Origin) {
+fn apply<P: Platform>(control: &Control<P>, topic: Topic, batch: Batch, origin: Origin) {
     let revision = batch.revision;
     let Origin { is_list, is_live, keep_until_ms } = origin;
     match topic {
