--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry that forwards straight to endpoints: JSON with comments.
+//! Settings of an entry that forwards requests directly to endpoints. The file is JSON with comments.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -8,19 +8,19 @@
 use super::policy::budget;
 use crate::{jsonc, settings};
 
-/// Retries beyond the first send of each request, over all entries.
+/// Retry budget of all entries together: sends beyond the first one of each request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Retries {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond that in a window.
+    /// Additional retries in a window.
     pub extra: f64,
     pub window_s: f64,
 }
 
 impl Retries {
-    /// The figures as a budget takes them.
+    /// Converts the settings to the form that the retry budget uses.
     #[must_use]
     pub fn allowed(&self) -> budget::Allowed {
         budget::Allowed {
@@ -31,18 +31,17 @@
     }
 }
 
-/// How far the rate of requests to a cold endpoint may go beyond the one that its service names, over all
-/// entries and in any second.
+/// Tolerance above a service's rate of requests to a cold endpoint, over all entries and in any second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdRate {
-    /// The service's rate is multiplied by this.
+    /// Factor by which the service's rate is multiplied.
     pub factor: f64,
-    /// Requests beyond that.
+    /// Additional requests.
     pub extra: f64,
 }
 
-/// What an entry is told.
+/// The settings of one entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateway {
@@ -51,36 +50,35 @@
     pub region: CompactString,
     pub zone: CompactString,
     pub ip: IpAddr,
-    /// Where callers connect.
+    /// Address on which requests are accepted.
     pub listen_addr: SocketAddr,
-    /// Where the balancer asks for readiness.
+    /// Address on which the load balancer checks readiness.
     pub ready_addr: SocketAddr,
-    /// First and last port for traffic between instances; the same on all of them.
+    /// First and last port for traffic between instances, the same on all instances.
     pub internal_ports: [u16; 2],
-    /// Some instances to ask first. Their addresses may be out of date; of their ports nothing is
-    /// used.
+    /// Addresses of some instances to contact first. They may be outdated, and their ports are ignored.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's object store.
+    /// Address of the platform's object store.
     pub store_addr: SocketAddr,
-    /// The platform's interface for duties; none where there are no duties.
+    /// Address of the platform's interface for duties; none where there are no duties.
     pub duties_addr: Option<SocketAddr>,
-    /// Secret that all instances of one fleet share.
+    /// Secret shared by all instances of a fleet.
     pub fleet_secret: String,
     pub retries: Retries,
     /// Length of a billing window.
     pub billing_window_s: u64,
-    /// How long an endpoint that leaves goes on taking requests.
+    /// Time for which an endpoint that leaves keeps taking requests.
     pub leave_ms: u64,
-    /// Within this time of the operators' word no request goes to an availability zone that they evacuate;
+    /// Time from the operators' evacuation of an availability zone until no request is sent to it any more;
     /// none where zones are not evacuated.
     #[serde(default)]
     pub evacuation_ms: Option<u64>,
-    /// None where endpoints are never cold.
+    /// Tolerance for cold endpoints; none where endpoints are never cold.
     #[serde(default)]
     pub cold_rate: Option<ColdRate>,
-    /// From the request to stop until the process is killed.
+    /// Time from the request to stop until the process is killed.
     pub stop_s: f64,
-    /// What the instance gives this process, in cores.
+    /// CPU share of this process on its instance, in cores.
     #[serde(default = "one_core")]
     pub cores: f64,
 }
@@ -90,19 +88,19 @@
 }
 
 impl Gateway {
-    /// Where this instance exchanges datagrams with the others.
+    /// Returns the address on which this instance exchanges datagrams with the others.
     #[must_use]
     pub fn peer_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports[0])
     }
 
-    /// What the instance can carry, in thousandths of a core.
+    /// Returns this process's CPU share in thousandths of a core.
     #[must_use]
     pub fn millicores(&self) -> u16 {
         (self.cores * 1_000.0) as u16
     }
 
-    /// Where metrics are served.
+    /// Returns the address on which metrics are served.
     #[must_use]
     pub fn metrics_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.internal_ports[1])
@@ -116,22 +114,22 @@
         require(
             self.internal_ports[0] < self.internal_ports[1],
             crate::path!["internal_ports"],
-            "the first internal port lies below the last",
+            "the first internal port must be below the last",
         )?;
         require(
             self.billing_window_s > 0,
             crate::path!["billing_window_s"],
-            "the window is empty",
+            "the window must be longer than zero",
         )?;
         require(
             self.cold_rate.is_none_or(|rate| rate.factor > 0.0 && rate.extra >= 0.0),
             crate::path!["cold_rate"],
-            "a cold endpoint takes some requests",
+            "factor must be above zero and extra must not be negative",
         )?;
         require(
             self.retries.window_s > 0.0,
             crate::path!["retries", "window_s"],
-            "the window is empty",
+            "the window must be longer than zero",
         )
     }
 }
