--- a/tests/gateway/billing.rs
+++ b/tests/gateway/billing.rs
@@ -1,5 +1,5 @@
-//! Counts of requests by billing window: what an entry told is not lost with it, and nothing is
-//! counted twice.
+//! Counts of requests by billing window: counts that an entry has sent survive it, and no request is counted
+//! twice.
 
 use briarwinch::clock;
 use briarwinch::gateway::duties::delivery::{Outbox, Watermarks};
@@ -9,10 +9,10 @@
     tally.sum(window).get(account).copied().unwrap_or(0)
 }
 
-/// An entry dies in the middle of a window. Its requests ran and are owed, and the client account
-/// would be billed for less.
+/// Guards against lost revenue: an entry dies in the middle of a window, and its requests, which ran, would
+/// be missing from the client account's bill.
 #[test]
-fn counts_of_an_entry_that_died_are_kept_by_those_it_told() {
+fn counts_of_a_dead_entry_survive_in_the_entries_that_received_them() {
     let (mut dying, mut living) = (Tally::default(), Tally::default());
     for _ in 0..5 {
         dying.add(1, 100, "court");
@@ -20,13 +20,13 @@
     living.add(2, 100, "court");
     living.merge(1, &dying.newest_of(1, 2));
     living.merge(1, &dying.newest_of(1, 2));
-    assert_eq!(count(&living, 100, "court"), 6, "told twice, counted once");
+    assert_eq!(count(&living, 100, "court"), 6, "received twice, counted once");
 }
 
-/// All entries are killed at once. What the holder of the duties had saved is taken up by the next
-/// one; entries that live on and tell their counts again must not be counted twice.
+/// All entries are killed at once, and the next duty holder loads what the former one had saved. Counts that
+/// surviving entries send again must not be counted twice.
 #[test]
-fn saved_counts_are_taken_up_once() {
+fn saved_counts_are_merged_only_once() {
     let mut before = Tally::default();
     before.add(1, 100, "court");
     before.add(2, 100, "court");
@@ -41,9 +41,9 @@
     assert_eq!(count(&after, 99, "press"), 1);
 }
 
-/// The same in the compact form that is kept in the store.
+/// The same with the compact form that is collected in the store.
 #[test]
-fn counts_in_the_store_are_taken_up_once() {
+fn stored_counts_are_merged_only_once() {
     let mut before = Tally::default();
     before.add(1, 100, "court");
     before.add(2, 100, "court");
@@ -56,43 +56,45 @@
     after.load(&saved);
     after.load(&saved);
     assert_eq!((count(&after, 100, "court"), count(&after, 101, "press")), (2, 1));
-    assert_eq!(count(&after, 90, "press"), 0, "what is sealed is not kept");
+    assert_eq!(count(&after, 90, "press"), 0, "counts of sealed windows are not saved");
 }
 
-/// Who keeps the counts starts again and has none of what it had taken. It must not take an entry for
-/// settled that sends it only what is new, and seal the window without the rest.
+/// A collector restarts and loses the counts that it had received. If it then considered an entry complete
+/// that sends it only new counts, it would seal the window without the earlier ones.
 #[test]
-fn a_keeper_that_starts_again_gets_everything_before_an_entry_counts_as_settled() {
-    const KEEPER: ([u8; 4], u16) = ([127, 0, 0, 1], 7_340);
+fn a_restarted_collector_receives_all_counts_before_it_may_seal() {
+    const COLLECTOR: ([u8; 4], u16) = ([127, 0, 0, 1], 7_340);
     const WINDOW_MS: u64 = 5_000;
-    let keeper = KEEPER.into();
+    let collector = COLLECTOR.into();
     let end_ms = 101 * WINDOW_MS;
     let mut own = Tally::default();
     let mut outbox = Outbox::new(1, WINDOW_MS);
-    let mut deliver = |own: &Tally, kept: &mut Tally, settled: &mut Watermarks, start: u64| {
-        for (_, parcel) in outbox.batches(&[keeper], &own.newest_of(1, 6), end_ms + 1) {
-            kept.merge(parcel.boot, &parcel.counts);
-            let receipt = settled.receive(&parcel, start);
-            outbox.acknowledge(keeper, start, receipt);
-        }
+    let mut deliver =
+        |own: &Tally, collected: &mut Tally, watermarks: &mut Watermarks, collector_boot: u64| {
+            for (_, batch) in outbox.batches(&[collector], &own.newest_of(1, 6), end_ms + 1) {
+                collected.merge(batch.boot, &batch.counts);
+                let ack = watermarks.receive(&batch, collector_boot);
+                outbox.acknowledge(collector, collector_boot, ack);
+            }
+        };
+    let may_seal = |watermarks: &Watermarks| {
+        watermarks.may_seal(end_ms, end_ms + 200, 5_000, true, [1].into_iter())
     };
-    let may_seal =
-        |settled: &Watermarks| settled.may_seal(end_ms, end_ms + 200, 5_000, true, [1].into_iter());
     own.add(1, 100, "court");
-    let (mut kept, mut settled) = (Tally::default(), Watermarks::default());
-    (0..3).for_each(|_| deliver(&own, &mut kept, &mut settled, 7));
-    assert!(may_seal(&settled));
+    let (mut collected, mut watermarks) = (Tally::default(), Watermarks::default());
+    (0..3).for_each(|_| deliver(&own, &mut collected, &mut watermarks, 7));
+    assert!(may_seal(&watermarks));
     own.add(1, 100, "press");
-    let (mut kept, mut settled) = (Tally::default(), Watermarks::default());
-    deliver(&own, &mut kept, &mut settled, 8);
-    assert!(!may_seal(&settled), "only what is new has come");
-    (0..3).for_each(|_| deliver(&own, &mut kept, &mut settled, 8));
-    assert!(may_seal(&settled));
-    assert_eq!((count(&kept, 100, "court"), count(&kept, 100, "press")), (1, 1));
+    let (mut collected, mut watermarks) = (Tally::default(), Watermarks::default());
+    deliver(&own, &mut collected, &mut watermarks, 8);
+    assert!(!may_seal(&watermarks), "only new counts were received");
+    (0..3).for_each(|_| deliver(&own, &mut collected, &mut watermarks, 8));
+    assert!(may_seal(&watermarks));
+    assert_eq!((count(&collected, 100, "court"), count(&collected, 100, "press")), (1, 1));
 }
 
 #[test]
-fn counts_travel_in_pieces_without_loss() {
+fn counts_split_into_pieces_are_merged_without_loss() {
     let mut here = Tally::default();
     for account in 0..200 {
         here.add(1, 100, &format!("account-{account}"));
@@ -105,18 +107,22 @@
 }
 
 #[test]
-fn old_windows_are_forgotten() {
+fn old_windows_are_evicted() {
     let mut tally = Tally::default();
     tally.add(1, 100, "court");
     tally.add(1, 200, "court");
     assert_eq!(count(&tally, 100, "court"), 0);
 }
 
-/// An instance's time of day jumps while a process starts there. Its requests would be counted into
-/// windows that are long over or yet to come.
+/// An instance's time of day jumps while a process starts there. Its requests would be counted in windows
+/// that are long over or in the future.
 #[test]
 fn time_of_day_is_corrected_by_the_median_of_older_peers() {
     assert_eq!(clock::correction_ms(&mut [2_400, 2_399, 2_401]), Some(2_400));
-    assert_eq!(clock::correction_ms(&mut [3, -2_400, 1]), None, "one peer's own jump counts not");
+    assert_eq!(
+        clock::correction_ms(&mut [3, -2_400, 1]),
+        None,
+        "the jump of a single peer is ignored"
+    );
     assert_eq!(clock::correction_ms(&mut []), None);
 }
