--- a/tests/gateway/succession.rs
+++ b/tests/gateway/succession.rs
@@ -1,4 +1,5 @@
-//! The lease of the duties passes on without a gap.
+//! Succession of the duties' lease: a new holder takes over without a gap, and never alongside the former
+//! one.
 
 use briarwinch::lease::{Contender, Record, Seen, Step, TERMS, Told};
 
@@ -12,31 +13,31 @@
     (contender, write.record)
 }
 
-/// An entry that stops has to give the lease back. One that no longer steps its contest because it
-/// acts under the lease no more never does, and for a whole term nobody reports usage.
+/// A stopping entry must release the lease. If it stopped stepping as soon as it no longer acts under the
+/// lease, it would never release it, and no entry would report usage for a whole term.
 #[test]
-fn a_stopping_holder_is_engaged_until_the_lease_is_given_back() {
+fn a_stopping_holder_is_engaged_until_the_lease_is_released() {
     let (mut contender, _) = holding("one", 1_000);
     contender.release();
-    assert!(contender.epoch(1_100).is_none(), "no act under a lease that is being given back");
+    assert!(contender.epoch(1_100).is_none(), "no act under a lease that is being released");
     assert!(contender.is_engaged());
     let Step::Write(write) = contender.step(1_100) else {
-        panic!("the lease is given back");
+        panic!("the lease is released");
     };
     assert_eq!(write.record.term_ms, 0);
     contender.written(6, 1_101);
     assert!(!contender.is_engaged());
 }
 
-/// Who sees a record for the first time waits for its whole term. Entries next in line read it
-/// beforehand, else a dead holder's windows are reported later than they are due.
+/// An entry that reads a lease record for the first time waits for a whole term. Standby entries must read
+/// it beforehand, or a dead holder's windows are reported too late.
 #[test]
-fn an_entry_that_stood_by_takes_over_as_soon_as_the_term_is_over() {
+fn a_standby_entry_takes_over_as_soon_as_the_term_is_over() {
     let (_, record) = holding("one", 0);
     let mut next = Contender::new("two".into(), 2, TERMS);
     assert_eq!(next.step_aside(100), Step::Read);
     next.read(Seen { version: 5, record: Some(record) }, 100, 101);
-    assert!(!matches!(next.step_aside(200), Step::Read), "it reads from time to time");
+    assert!(!matches!(next.step_aside(200), Step::Read), "it reads only at intervals");
     let free_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
     assert!(!matches!(next.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(next.step(free_ms), Step::Write(_)));
@@ -52,29 +53,29 @@
     (next, write.record, now_ms)
 }
 
-/// The store is away and a takeover gets no answer. An entry that waited for a whole term to see
-/// whether the write still takes effect would leave nobody in charge long after the store is back,
-/// and the windows due meanwhile are reported late.
+/// The store is unavailable and a takeover write gets no answer. If the entry waited a whole term to see
+/// whether the write still takes effect, there would be no holder long after the store is back, and the
+/// windows due in that time would be reported too late.
 #[test]
-fn a_takeover_without_an_answer_is_tried_again_as_soon_as_the_store_answers() {
+fn an_unanswered_takeover_is_retried_as_soon_as_the_store_answers() {
     let (_, record) = holding("one", 0);
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
     assert_eq!(next.step(now_ms + 1_200), Step::Read);
     next.read(Seen { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
     let Step::Write(again) = next.step(now_ms + 1_201) else {
-        panic!("it tries again");
+        panic!("it retries");
     };
-    assert_eq!(again.if_version, 5, "the store takes one of both at most");
+    assert_eq!(again.if_version, 5, "the store accepts at most one of the two writes");
     assert_eq!(again.record.epoch, first.epoch);
     next.written(6, now_ms + 1_205);
     assert_eq!(next.epoch(now_ms + 1_206), Some(first.epoch));
 }
 
-/// The first write was done late, so the second is refused: by this entry's own record. Taken for a
-/// rival's, its term would be waited for in vain.
+/// The first write took effect late, so the second one conflicts with this entry's own record. If the entry
+/// took it for another contender's, it would wait for the term needlessly.
 #[test]
-fn a_late_takeover_of_ones_own_is_known_again() {
+fn an_entry_recognizes_its_own_late_takeover() {
     let (_, record) = holding("one", 0);
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
@@ -89,59 +90,59 @@
     assert_eq!(next.epoch(end_ms), None, "its term counts from the write that took effect");
 }
 
-/// All entries are killed at once and start again. The lease names one of them; waiting for the term
-/// of its former self, nobody reports usage for a term although nobody else can hold it.
+/// All entries are killed at once and restart, and the lease names one of them. If that entry waited for the
+/// term of its former process, no entry would report usage for a term, although no other can hold the lease.
 #[test]
-fn an_entry_that_starts_again_takes_its_former_lease_at_once() {
+fn a_restarted_entry_takes_its_former_lease_at_once() {
     let (_, record) = holding("one@127.0.0.1:80", 0);
     let mut again = Contender::of_bound_address("one@127.0.0.1:80".into(), 9, TERMS);
     again.read(Seen { version: 5, record: Some(record.clone()) }, 700, 701);
     let Step::Write(write) = again.step(701) else {
-        panic!("its former self has ended");
+        panic!("its former process has ended");
     };
-    assert!(write.record.epoch > record.epoch, "what the former self sent is older");
+    assert!(write.record.epoch > record.epoch, "calls of the former process have an older epoch");
     let mut other = Contender::of_bound_address("two@127.0.0.2:80".into(), 9, TERMS);
     other.read(Seen { version: 5, record: Some(record) }, 700, 701);
-    assert!(!matches!(other.step(701), Step::Write(_)), "another's term is waited for");
+    assert!(!matches!(other.step(701), Step::Write(_)), "it waits for another entry's term");
 }
 
-/// A holder stops while the store is away, so its lease cannot be given back there. Rivals that do
-/// not hear of it wait for its term although nobody is in charge.
+/// A holder stops while the store is unavailable, so it cannot release its lease there. Contenders that are
+/// not informed would wait for its term although there is no holder.
 #[test]
-fn a_stopping_holder_tells_its_rivals_that_its_term_is_over() {
+fn a_stopping_holder_announces_that_its_term_is_over() {
     let (mut holder, _) = holding("one", 1_000);
-    let mut rival = Contender::new("two".into(), 2, TERMS);
+    let mut contender = Contender::new("two".into(), 2, TERMS);
     let told = holder.tells(1_100).expect("it holds the lease");
     assert!(!told.is_over && told.left_ms > 0);
-    rival.told(told, 1_150);
-    assert!(!matches!(rival.step(1_150), Step::Write(_)));
+    contender.told(told, 1_150);
+    assert!(!matches!(contender.step(1_150), Step::Write(_)));
     holder.release();
-    let told = holder.tells(1_200).expect("it has held the lease");
+    let told = holder.tells(1_200).expect("it held the lease");
     assert!(told.is_over);
-    rival.told(told, 1_250);
-    let Step::Write(write) = rival.step(1_250) else {
-        panic!("nobody is in charge");
+    contender.told(told, 1_250);
+    let Step::Write(write) = contender.step(1_250) else {
+        panic!("there is no holder");
     };
     assert_eq!(write.if_version, told.version);
     assert!(write.record.epoch > told.epoch);
 }
 
-/// The holder dies. A rival that was told when its term ends takes over then, without having read the
-/// record before; one that begins to count when it first reads it comes a term later.
+/// The holder dies. A contender that was informed of the term's end takes over at that time without having
+/// read the record. If it counted the term from its first read, it would take over a term later.
 #[test]
-fn a_rival_that_was_told_takes_over_when_the_term_ends() {
+fn an_informed_contender_takes_over_when_the_term_ends() {
     let (holder, _) = holding("one", 1_000);
-    let mut rival = Contender::new("two".into(), 2, TERMS);
-    rival.told(holder.tells(1_300).expect("it holds the lease"), 1_400);
+    let mut contender = Contender::new("two".into(), 2, TERMS);
+    contender.told(holder.tells(1_300).expect("it holds the lease"), 1_400);
     let end_ms = 1_000 + TERMS.term_ms - TERMS.margin_ms;
     let free_ms = end_ms + 100 + TERMS.margin_ms;
-    assert!(!matches!(rival.step(free_ms - 1), Step::Write(_)));
-    assert!(matches!(rival.step(free_ms), Step::Write(_)));
+    assert!(!matches!(contender.step(free_ms - 1), Step::Write(_)));
+    assert!(matches!(contender.step(free_ms), Step::Write(_)));
 }
 
-/// Messages come late and out of order. One about an older term must not make a newer one look over.
+/// Messages arrive late and out of order. One about an older term must not end a newer one.
 #[test]
-fn what_is_told_of_an_older_term_changes_nothing() {
+fn announcements_of_an_older_term_are_ignored() {
     let told = Told {
         version: 9,
         boot: 1,
@@ -150,8 +151,8 @@
         idle_ms: 0,
         is_over: false,
     };
-    let mut rival = Contender::new("two".into(), 2, TERMS);
-    rival.told(told, 100);
+    let mut contender = Contender::new("two".into(), 2, TERMS);
+    contender.told(told, 100);
     let older = Told {
         version: 8,
         boot: 4,
@@ -160,6 +161,6 @@
         idle_ms: 0,
         is_over: true,
     };
-    rival.told(older, 200);
-    assert!(!matches!(rival.step(2_000), Step::Write(_)));
+    contender.told(older, 200);
+    assert!(!matches!(contender.step(2_000), Step::Write(_)));
 }
