--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -57,16 +57,16 @@
         }
         if !is_news {
             update_entries(&control, now_ms);
-            control.change_directory("grace time over", |directory| directory.expire(now_ms));
+            control.update_directory("grace time over", |directory| directory.expire(now_ms));
             control.update_warming();
-            control.share_limits();
+            control.update_limit_shares();
         }
     }
 }
 
 fn facts<P>(control: &Control<P>, now_ms: u64) -> Facts {
     let own = control.own_lease.get();
-    let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
+    let told = control.relayed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
     let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
@@ -77,7 +77,7 @@
         unix_ms: control.shared.time.unix_ms(),
         config_version: control.config_version(),
         directory_revision: control.directory.borrow().revision(),
-        has_store: control.has_store(),
+        has_store: control.is_store_available(),
         holds_duties: own.is_some_and(|(told, _)| told.left_ms > 0 && !told.is_over),
         is_stopping: control.shared.is_draining(),
         lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
@@ -93,7 +93,7 @@
 fn send_counts<P>(control: &Control<P>, now_ms: u64) -> u64 {
     let shared = &control.shared;
     shared.forget_old_counts();
-    let own = control.counts();
+    let own = control.own_counts();
     let (keepers, entries) = {
         let peers = &control.exchange.borrow().peers;
         let mut keepers: Vec<SocketAddr> = peers.holder(now_ms).into_iter().collect();
@@ -105,7 +105,7 @@
         (keepers, 1 + peers.live(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.parcels(&keepers, &own, shared.counted_until_ms()) {
+    for (addr, counts) in outbox.batches(&keepers, &own, shared.counted_until_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
@@ -185,11 +185,11 @@
             let mut homes = shared.prefix_locations();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
-        Message::Limits(limits) => control.take_limits(&limits, now_ms),
-        Message::Departures(departures) => control.take_departures(&departures, now_ms),
+        Message::Limits(limits) => control.apply_peer_limits(&limits, now_ms),
+        Message::Departures(departures) => control.apply_peer_departures(&departures, now_ms),
         Message::Counts { from, counts } => {
-            shared.tally().take(counts.boot, &counts.counts);
-            let receipt = control.settled.borrow_mut().take(&counts, shared.boot);
+            shared.tally().merge(counts.boot, &counts.counts);
+            let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
             let message = Message::CountsTaken {
                 from: shared.settings.peer_addr(),
                 keeper: shared.boot,
@@ -198,7 +198,7 @@
             send_all(control, vec![Outgoing { to: vec![from], message }]);
         }
         Message::CountsTaken { from, keeper, receipt } => {
-            control.outbox.borrow_mut().take(from, keeper, receipt);
+            control.outbox.borrow_mut().acknowledge(from, keeper, receipt);
         }
     }
 }
@@ -210,12 +210,12 @@
 fn take_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
     shared.gate.take(state.gate, now_ms);
-    control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
+    control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
-        if control.passed_lease.get().is_none_or(newer) {
-            control.passed_lease.set(Some((told, now_ms)));
-            control.told_lease.set(Some((told, now_ms)));
+        if control.relayed_lease.get().is_none_or(newer) {
+            control.relayed_lease.set(Some((told, now_ms)));
+            control.received_lease.set(Some((told, now_ms)));
         }
     }
     let facts = facts(control, now_ms);
@@ -235,7 +235,7 @@
         task::spawn_local(pulls::pull_memory(Rc::clone(control), state.from));
     }
     // One that has just started lists all at the store itself, and would only get the same twice.
-    let is_listing = control.topics_to_list.get() > 0 && control.has_store();
+    let is_listing = control.topics_to_list.get() > 0 && control.is_store_available();
     if !is_listing && offered.is_newer(control) && control.exchange.borrow_mut().peers.begin_pull()
     {
         task::spawn_local(pulls::pull(Rc::clone(control), offered));
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -104,11 +104,11 @@
         match read_state(&control, offered.from, wanted).await {
             Ok(state) => {
                 if let Some(parts) = state.config {
-                    control.take_table(parts, "peer");
+                    control.apply_config(parts, "peer");
                 }
                 if let Some(newer) = state.directory {
                     let now_ms = control.now_ms();
-                    control.change_directory("peer", |directory| {
+                    control.update_directory("peer", |directory| {
                         directory.adopt(newer, &state.lapsed, &state.cold, now_ms)
                     });
                 }
@@ -182,7 +182,7 @@
             Ok(State { memory: Some(memory), .. }) => {
                 slog::info!(control.log, "counts gathered"; "peer" => from.to_string(),
                     "starts" => memory.counts.len());
-                control.shared.tally().take_saved(memory.counts);
+                control.shared.tally().merge_all(memory.counts);
             }
             Ok(State { memory: None, .. }) => {}
             Err(error) => note_failed(control, *from, &error),
@@ -197,7 +197,7 @@
         "parts" => memory.placed.len(), "starts" => memory.counts.len());
     let mut homes = control.shared.prefix_locations();
     memory.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
-    control.shared.tally().take_saved(memory.counts);
+    control.shared.tally().merge_all(memory.counts);
 }
 
 async fn read_state<P>(
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use briarwinch::gateway::directory::EndpointKey;
-use briarwinch::gateway::duties::delivery::{Outbox, Settled};
+use briarwinch::gateway::duties::delivery::{Outbox, Watermarks};
 use briarwinch::gateway::duties::tally::Tally;
 use briarwinch::gateway::fleet::exchange::{Exchange, Facts, Outgoing, Own};
 use briarwinch::gateway::fleet::message::Message;
@@ -37,7 +37,7 @@
     pub departures: departures::Departures,
     pub tally: Tally,
     pub outbox: Outbox,
-    pub settled: Settled,
+    pub settled: Watermarks,
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub evacuations: evacuation::Evacuations,
@@ -134,7 +134,8 @@
     ) -> Node {
         let settings = settings(index, zone, cores);
         let boot = random.random();
-        let own = Own { addr: addr(index), boot, zone: zone.into(), strength: settings.strength() };
+        let own =
+            Own { addr: addr(index), boot, zone: zone.into(), strength: settings.millicores() };
         Node {
             addr: addr(index),
             zone,
@@ -146,7 +147,7 @@
             departures: departures::Departures::default(),
             tally: Tally::default(),
             outbox: Outbox::new(boot, WINDOW_MS),
-            settled: Settled::default(),
+            settled: Watermarks::default(),
             holds_duties: false,
             is_stopping: false,
             evacuations: evacuation::Evacuations::default(),
@@ -249,13 +250,13 @@
                 }
             }
             Message::Counts { from, counts } => {
-                node.tally.take(counts.boot, &counts.counts);
-                let receipt = node.settled.take(&counts, node.boot);
+                node.tally.merge(counts.boot, &counts.counts);
+                let receipt = node.settled.receive(&counts, node.boot);
                 let message = Message::CountsTaken { from: node.addr, keeper: node.boot, receipt };
                 out.push(Outgoing { to: vec![from], message });
             }
             Message::CountsTaken { from, keeper, receipt } => {
-                node.outbox.take(from, keeper, receipt);
+                node.outbox.acknowledge(from, keeper, receipt);
             }
         }
         self.send(index, out);
@@ -383,7 +384,7 @@
     keepers.dedup();
     keepers.truncate(2);
     let own = node.tally.newest_of(node.boot, 6);
-    let parcels = node.outbox.parcels(&keepers, &own, now_ms);
+    let parcels = node.outbox.batches(&keepers, &own, now_ms);
     let message = |counts| Message::Counts { from: node.addr, counts };
     parcels
         .into_iter()
