--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -226,7 +226,7 @@
 
 fn open_exchange(shared: &shared::Shared) -> exchange::Exchange {
     let settings = &shared.settings;
-    let own = exchange::Own {
+    let own = exchange::Identity {
         addr: settings.peer_addr(),
         boot: shared.boot,
         zone: settings.zone.clone(),
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -8,7 +8,7 @@
 use tokio::{task, time};
 
 use crate::gateway::control::{Control, Platform};
-use crate::gateway::fleet::exchange::{Facts, Outgoing};
+use crate::gateway::fleet::exchange::{LocalState, Outgoing};
 use crate::gateway::fleet::message::{Message, State};
 use crate::gateway::fleet::pulls;
 use crate::gateway::measures;
@@ -44,12 +44,12 @@
             next_ms = control.now_ms() + TICK_MS;
         }
         let now_ms = control.now_ms();
-        let facts = facts(&control, now_ms);
+        let local = local_state(&control, now_ms);
         let outgoing = {
             let mut book = control.shared.book();
             let mut homes = control.shared.homes();
             let mut exchange = control.exchange.borrow_mut();
-            exchange.tick(now_ms, &facts, is_news, &mut book, &mut homes)
+            exchange.tick(now_ms, &local, is_news, &mut book, &mut homes)
         };
         send_all(&control, outgoing);
         if now_ms >= next_counts_ms {
@@ -64,7 +64,7 @@
     }
 }
 
-fn facts<P>(control: &Control<P>, now_ms: u64) -> Facts {
+fn local_state<P>(control: &Control<P>, now_ms: u64) -> LocalState {
     let own = control.own_lease.get();
     let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
     let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
@@ -72,7 +72,7 @@
         let limits = control.shared.limits();
         (limits.told(now_ms), limits.newest_stamp())
     };
-    Facts {
+    LocalState {
         age_ms: control.shared.time.age_ms(),
         unix_ms: control.shared.time.unix_ms(),
         config_version: control.config_version(),
@@ -218,8 +218,8 @@
             control.told_lease.set(Some((told, now_ms)));
         }
     }
-    let facts = facts(control, now_ms);
-    let (is_new, answers) = control.exchange.borrow_mut().take_state(state, &facts, now_ms);
+    let local = local_state(control, now_ms);
+    let (is_new, answers) = control.exchange.borrow_mut().take_state(state, &local, now_ms);
     if is_new {
         note_peer(control, state.from);
     }
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -36,7 +36,7 @@
 
 /// What an entry knows of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct LocalState {
     pub age_ms: u64,
     pub unix_ms: u64,
     pub config_version: u64,
@@ -53,7 +53,7 @@
     pub departures: Vec<departures::Departure>,
 }
 
-impl Facts {
+impl LocalState {
     /// What the others have to know at once when it changes.
     fn urgent(&self, role: Role) -> Urgent {
         let lease = self.lease.map(|told| (told.version, told.is_over));
@@ -88,7 +88,7 @@
 
 /// Who this entry is.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Identity {
     pub addr: SocketAddr,
     pub boot: u64,
     pub zone: CompactString,
@@ -123,7 +123,7 @@
 /// An entry's part in the exchange.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    own: Own,
+    identity: Identity,
     pub peers: Peers,
     /// When an aggregator before this entry told of others' work.
     senior_ms: u64,
@@ -155,9 +155,9 @@
 impl Exchange {
     /// An entry that starts now.
     #[must_use]
-    pub fn new(own: Own, peers: Peers, now_ms: u64) -> Self {
+    pub fn new(identity: Identity, peers: Peers, now_ms: u64) -> Self {
         Self {
-            own,
+            identity,
             peers,
             senior_ms: now_ms,
             aggregator: None,
@@ -198,7 +198,7 @@
     /// that has just joined may not know of others that think the same of themselves.
     #[must_use]
     pub fn keeps(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
-        self.keepers.is_keeper(self.own.addr, endpoint, zone)
+        self.keepers.is_keeper(self.identity.addr, endpoint, zone)
     }
 
     /// This entry's place among those that may send to an endpoint of this zone, if it knows the others.
@@ -208,7 +208,7 @@
         endpoint: directory::EndpointKey,
         zone: &str,
     ) -> Option<warmup::Standing> {
-        self.keepers.standing(self.own.addr, endpoint, zone)
+        self.keepers.standing(self.identity.addr, endpoint, zone)
     }
 
     fn see_keepers(&mut self, now_ms: u64) {
@@ -224,7 +224,7 @@
     pub fn tick(
         &mut self,
         now_ms: u64,
-        facts: &Facts,
+        local: &LocalState,
         is_news: bool,
         book: &mut load::Book,
         homes: &mut homes::Homes,
@@ -249,7 +249,7 @@
         book.set_told(role == Role::Member || is_handover);
         book.sweep(now_ms);
         let mut out = Vec::new();
-        self.tell_state(now_ms, facts, role, &mut out);
+        self.tell_state(now_ms, local, role, &mut out);
         match role {
             Role::Aggregator => {
                 self.tell_sums(now_ms, is_handover, book, &mut out);
@@ -270,12 +270,12 @@
     pub fn take_state(
         &mut self,
         state: &State,
-        facts: &Facts,
+        local: &LocalState,
         now_ms: u64,
     ) -> (bool, Vec<Outgoing>) {
         self.heard_ms = now_ms;
         let is_new = self.peers.note(state.from, state.peer(now_ms), now_ms);
-        if self.peers.is_before(state.from) && state.zone == self.own.zone {
+        if self.peers.is_before(state.from) && state.zone == self.identity.zone {
             self.senior_ms = now_ms;
         }
         if let Some((aggregator, at_ms)) = &mut self.aggregator
@@ -283,12 +283,12 @@
         {
             *at_ms = now_ms;
         }
-        if state.is_acting && state.zone == self.own.zone {
+        if state.is_acting && state.zone == self.identity.zone {
             self.acting = Some((state.from, now_ms));
         }
         let mut out = Vec::new();
         // One that acts for another zone and is not its first may not know who else is there.
-        let is_astray = state.zone != self.own.zone
+        let is_astray = state.zone != self.identity.zone
             && self.peers.aggregators(&state.zone, now_ms).first() != Some(&state.from);
         // One that was frozen or cut off knows few others, and nobody might tell it of the rest.
         let is_behind = usize::from(state.live) * 4 < self.peers.live(now_ms) * 3;
@@ -297,12 +297,12 @@
             if state.is_joining || is_behind {
                 // An answer asks for none: two that join would go on answering each other.
                 let state =
-                    State { is_joining: false, ..self.state(facts, self.role(now_ms), now_ms) };
+                    State { is_joining: false, ..self.state(local, self.role(now_ms), now_ms) };
                 let message = Message::State(state);
                 out.push(Outgoing { to: to.clone(), message });
             }
             let is_its_aggregator =
-                state.zone == self.own.zone && self.role(now_ms) == Role::Aggregator;
+                state.zone == self.identity.zone && self.role(now_ms) == Role::Aggregator;
             let roster = if is_its_aggregator {
                 self.peers.whole_roster(now_ms)
             } else {
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::{Exchange, Facts, LOST_MS, Outgoing, Role};
+use super::{Exchange, LOST_MS, LocalState, Outgoing, Role};
 use crate::gateway::fleet::message::{Leg, Message, Placed, State, Work};
 use crate::gateway::fleet::peers::{Scope, roster};
 use crate::gateway::policy::{homes, load};
@@ -45,7 +45,7 @@
     /// Whom a member tells: the first of its zone, and whoever acts for it. While the first are dead and not
     /// known to be, the one that acts would hear of nobody, and the other zones would take all for gone.
     pub(super) fn aggregators(&self, now_ms: u64) -> Vec<SocketAddr> {
-        let mut first = self.peers.aggregators(&self.own.zone, now_ms);
+        let mut first = self.peers.aggregators(&self.identity.zone, now_ms);
         let acting = self.acting.filter(|(_, at_ms)| now_ms < at_ms + LOST_MS);
         first.extend(acting.map(|(addr, _)| addr).filter(|addr| !first.contains(addr)));
         first
@@ -68,11 +68,11 @@
     pub(super) fn tell_state(
         &mut self,
         now_ms: u64,
-        facts: &Facts,
+        local: &LocalState,
         role: Role,
         out: &mut Vec<Outgoing>,
     ) {
-        let urgent = facts.urgent(role);
+        let urgent = local.urgent(role);
         let pause_ms = if role == Role::Joining { JOIN_MS } else { STATE_MS };
         if now_ms < self.last.state_ms + pause_ms && urgent == self.last.urgent {
             return;
@@ -96,13 +96,13 @@
             self.last.seeds_ms = now_ms;
             to.extend(self.peers.silent(now_ms));
         }
-        let state = self.state(facts, role, now_ms);
+        let state = self.state(local, role, now_ms);
         self.peers.note_own(&state.peer(now_ms));
-        for limits in facts.limits.chunks(MAX_LIMITS) {
+        for limits in local.limits.chunks(MAX_LIMITS) {
             let message = Message::Limits(limits.to_vec());
             out.push(Outgoing { to: to.clone(), message });
         }
-        for departures in facts.departures.chunks(MAX_DEPARTURES) {
+        for departures in local.departures.chunks(MAX_DEPARTURES) {
             let message = Message::Departures(departures.to_vec());
             out.push(Outgoing { to: to.clone(), message });
         }
@@ -110,25 +110,25 @@
         out.push(Outgoing { to, message });
     }
 
-    pub(super) fn state(&self, facts: &Facts, role: Role, now_ms: u64) -> State {
+    pub(super) fn state(&self, local: &LocalState, role: Role, now_ms: u64) -> State {
         State {
-            from: self.own.addr,
-            boot: self.own.boot,
-            age_ms: facts.age_ms,
-            unix_ms: facts.unix_ms,
-            config_version: facts.config_version,
-            directory_revision: facts.directory_revision,
-            zone: self.own.zone.clone(),
-            strength: self.own.strength,
-            has_store: facts.has_store,
-            holds_duties: facts.holds_duties,
-            is_stopping: facts.is_stopping,
+            from: self.identity.addr,
+            boot: self.identity.boot,
+            age_ms: local.age_ms,
+            unix_ms: local.unix_ms,
+            config_version: local.config_version,
+            directory_revision: local.directory_revision,
+            zone: self.identity.zone.clone(),
+            strength: self.identity.strength,
+            has_store: local.has_store,
+            holds_duties: local.holds_duties,
+            is_stopping: local.is_stopping,
             is_joining: role == Role::Joining,
             is_acting: role == Role::Aggregator,
             live: u16::try_from(self.peers.live(now_ms)).unwrap_or(u16::MAX),
-            lease: facts.lease,
-            gate: facts.gate,
-            evacuations: facts.evacuations.clone(),
+            lease: local.lease,
+            gate: local.gate,
+            evacuations: local.evacuations.clone(),
         }
     }
 
@@ -155,7 +155,7 @@
         } else {
             return;
         };
-        let source = load::Source::Entry(self.own.boot);
+        let source = load::Source::Entry(self.identity.boot);
         let origin = load::Origin { entries: 1, age_ms: 0 };
         let to = self.aggregators(now_ms);
         self.push_work(&to, &source, origin, tables, out);
@@ -170,7 +170,7 @@
         out: &mut Vec<Outgoing>,
     ) {
         for rows in tables {
-            let work = Work { from: self.own.addr, source: source.clone(), origin, rows };
+            let work = Work { from: self.identity.addr, source: source.clone(), origin, rows };
             out.push(Outgoing { to: to.to_vec(), message: Message::Work(work) });
         }
     }
@@ -188,7 +188,7 @@
         self.last.round_ms = now_ms;
         book.take_news(0);
         // Of this entry itself there is no table, so that this is all that is known.
-        let (_, sums) = book.table_for(self.own.boot, now_ms);
+        let (_, sums) = book.table_for(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
         self.zones_are_due |= is_changed;
@@ -196,7 +196,7 @@
             self.zones_are_due = false;
             self.last.zones_round_ms = now_ms;
             let (origin, rows) = book.zone_table(now_ms);
-            let source = load::Source::Zone(self.own.zone.clone());
+            let source = load::Source::Zone(self.identity.zone.clone());
             let to = self.other_zones(now_ms);
             self.push_work(&to, &source, origin, load::Rows::split(&rows, MAX_ROWS), out);
         }
@@ -220,7 +220,7 @@
         }
         self.last.roster_ms = now_ms;
         self.peers.next_turn();
-        let zone = self.own.zone.clone();
+        let zone = self.identity.zone.clone();
         let rosters = [
             (self.other_zones(now_ms), self.peers.roster(Scope::Zone(&zone), now_ms)),
             (self.members(now_ms), self.peers.roster(Scope::All, now_ms)),
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -6,7 +6,7 @@
 use briarwinch::gateway::directory::EndpointKey;
 use briarwinch::gateway::duties::delivery::{Outbox, Settled};
 use briarwinch::gateway::duties::tally::Tally;
-use briarwinch::gateway::fleet::exchange::{Exchange, Facts, Outgoing, Own};
+use briarwinch::gateway::fleet::exchange::{Exchange, Identity, LocalState, Outgoing};
 use briarwinch::gateway::fleet::message::Message;
 use briarwinch::gateway::fleet::peers::Peers;
 use briarwinch::gateway::policy::{gate, homes, limits, load};
@@ -134,7 +134,8 @@
     ) -> Node {
         let settings = settings(index, zone, cores);
         let boot = random.random();
-        let own = Own { addr: addr(index), boot, zone: zone.into(), strength: settings.strength() };
+        let own =
+            Identity { addr: addr(index), boot, zone: zone.into(), strength: settings.strength() };
         Node {
             addr: addr(index),
             zone,
@@ -184,9 +185,9 @@
             if node.is_silent || !(now_ms + node.offset_ms).is_multiple_of(TICK_MS) {
                 continue;
             }
-            let facts = facts(node, now_ms);
+            let local = local_state(node, now_ms);
             let mut out =
-                node.exchange.tick(now_ms, &facts, node.has_news, &mut node.book, &mut node.homes);
+                node.exchange.tick(now_ms, &local, node.has_news, &mut node.book, &mut node.homes);
             node.has_news = false;
             if (now_ms + node.offset_ms) % COUNTS_MS < TICK_MS {
                 out.extend(counts(node, now_ms));
@@ -223,12 +224,12 @@
         if node.is_silent || node.is_cut_off {
             return;
         }
-        let facts = facts(node, now_ms);
+        let local = local_state(node, now_ms);
         let mut out = Vec::new();
         match message {
             Message::State(state) => {
                 node.evacuations.adopt(&state.evacuations, now_ms);
-                out = node.exchange.take_state(&state, &facts, now_ms).1;
+                out = node.exchange.take_state(&state, &local, now_ms).1;
             }
             Message::Work(work) => node.exchange.take_work(&work, &mut node.book, now_ms),
             Message::Roster(roster) => {
@@ -358,8 +359,8 @@
     }
 }
 
-pub fn facts(node: &Node, now_ms: u64) -> Facts {
-    Facts {
+pub fn local_state(node: &Node, now_ms: u64) -> LocalState {
+    LocalState {
         age_ms: now_ms - START_MS,
         unix_ms: now_ms,
         config_version: 1,
