--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -230,7 +230,7 @@
         addr: settings.peer_addr(),
         boot: shared.boot,
         zone: settings.zone.clone(),
-        strength: settings.strength(),
+        millicores: settings.strength(),
     };
     let now_ms = clock::boot_ms();
     exchange::Exchange::new(own, peers::Peers::new(settings, now_ms), now_ms)
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -92,7 +92,7 @@
     pub addr: SocketAddr,
     pub boot: u64,
     pub zone: CompactString,
-    pub strength: u16,
+    pub millicores: u16,
 }
 
 /// What an entry does for its zone.
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -119,7 +119,7 @@
             config_version: local.config_version,
             directory_revision: local.directory_revision,
             zone: self.identity.zone.clone(),
-            strength: self.identity.strength,
+            millicores: self.identity.millicores,
             has_store: local.has_store,
             holds_duties: local.holds_duties,
             is_stopping: local.is_stopping,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -22,7 +22,7 @@
     pub directory_revision: u64,
     pub zone: CompactString,
     /// What its instance can carry, in thousandths of a core.
-    pub strength: u16,
+    pub millicores: u16,
     /// The store answered this entry's last calls, as far as it makes any.
     pub has_store: bool,
     pub holds_duties: bool,
@@ -47,7 +47,7 @@
             boot: self.boot,
             heard_ms: now_ms,
             zone: self.zone.clone(),
-            strength: self.strength,
+            millicores: self.millicores,
             has_store: self.has_store,
             holds_duties: self.holds_duties,
             is_stopping: self.is_stopping,
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -42,7 +42,7 @@
     pub heard_ms: u64,
     pub zone: CompactString,
     /// What its instance can carry, in thousandths of a core.
-    pub strength: u16,
+    pub millicores: u16,
     pub has_store: bool,
     pub holds_duties: bool,
     pub is_stopping: bool,
@@ -60,7 +60,7 @@
     /// Names this state of the peer in messages.
     fn tag(&self, addr: SocketAddr) -> u32 {
         let flags = [self.has_store, self.holds_duties, self.is_stopping];
-        let text = format!("{addr} {} {} {} {flags:?}", self.boot, self.zone, self.strength);
+        let text = format!("{addr} {} {} {} {flags:?}", self.boot, self.zone, self.millicores);
         xxh3::xxh3_64(text.as_bytes()) as u32
     }
 }
@@ -96,7 +96,7 @@
     /// Names this entry's own state in messages.
     own_tag: u32,
     zone: CompactString,
-    strength: u16,
+    millicores: u16,
     started_ms: u64,
     seeds: Vec<SocketAddr>,
     heard: BTreeMap<SocketAddr, Known>,
@@ -124,7 +124,7 @@
             own,
             own_tag: 0,
             zone: settings.zone.clone(),
-            strength: settings.strength(),
+            millicores: settings.strength(),
             started_ms: now_ms,
             seeds: seeds.filter(|addr| *addr != own).collect(),
             heard: BTreeMap::new(),
@@ -231,7 +231,7 @@
     pub fn rank(&self, now_ms: u64) -> usize {
         let before = self
             .live_peers(now_ms)
-            .filter(|(addr, peer)| !peer.is_stopping && self.goes_before(peer.strength, **addr));
+            .filter(|(addr, peer)| !peer.is_stopping && self.goes_before(peer.millicores, **addr));
         before.count()
     }
 
@@ -298,21 +298,21 @@
         self.seeds.is_empty() && self.heard.is_empty()
     }
 
-    fn goes_before(&self, strength: u16, addr: SocketAddr) -> bool {
-        (Reverse(strength), addr) < (Reverse(self.strength), self.own)
+    fn goes_before(&self, millicores: u16, addr: SocketAddr) -> bool {
+        (Reverse(millicores), addr) < (Reverse(self.millicores), self.own)
     }
 
     /// Peers of this zone that aggregate before this entry does.
     #[must_use]
     pub fn aggregators_before(&self, now_ms: u64) -> usize {
         let candidates = self.candidates(&self.zone, now_ms);
-        candidates.filter(|(addr, peer)| self.goes_before(peer.strength, **addr)).count()
+        candidates.filter(|(addr, peer)| self.goes_before(peer.millicores, **addr)).count()
     }
 
     /// Whether that peer aggregates before this entry does.
     #[must_use]
     pub fn is_before(&self, addr: SocketAddr) -> bool {
-        self.heard.get(&addr).is_some_and(|known| self.goes_before(known.peer.strength, addr))
+        self.heard.get(&addr).is_some_and(|known| self.goes_before(known.peer.millicores, addr))
     }
 
     fn candidates<'a>(
@@ -438,7 +438,7 @@
 ) -> Vec<SocketAddr> {
     let mut first: Vec<(Reverse<u16>, SocketAddr)> = Vec::with_capacity(most + 1);
     for (addr, peer) in peers {
-        let key = (Reverse(peer.strength), *addr);
+        let key = (Reverse(peer.millicores), *addr);
         let at = first.partition_point(|other| *other < key);
         if at < most {
             first.insert(at, key);
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -134,8 +134,12 @@
     ) -> Node {
         let settings = settings(index, zone, cores);
         let boot = random.random();
-        let own =
-            Identity { addr: addr(index), boot, zone: zone.into(), strength: settings.strength() };
+        let own = Identity {
+            addr: addr(index),
+            boot,
+            zone: zone.into(),
+            millicores: settings.strength(),
+        };
         Node {
             addr: addr(index),
             zone,
