--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -180,8 +180,8 @@
             let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
             new.into_iter().for_each(|addr| note_peer(control, addr));
         }
-        Message::Placed(placed) => {
-            control.exchange.borrow_mut().pass_on(placed.leg, &placed.parts);
+        Message::Placements(placed) => {
+            control.exchange.borrow_mut().forward(placed.hop, &placed.parts);
             let mut homes = shared.homes();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -262,7 +262,7 @@
             }
         }
         // Also of an entry that others took for an aggregator.
-        self.tell_passed_on(now_ms, &mut out);
+        self.send_forwarded(now_ms, &mut out);
         out
     }
 
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{Exchange, LOST_MS, LocalState, Outgoing, Role};
-use crate::gateway::fleet::message::{Leg, Message, Placed, State, Work};
+use crate::gateway::fleet::message::{Hop, Message, Placements, State, Work};
 use crate::gateway::fleet::peers::{Scope, roster};
 use crate::gateway::policy::{homes, load};
 
@@ -237,7 +237,7 @@
             if placed.is_empty() {
                 return;
             }
-            self.pass_on(Leg::FromEntry, &placed);
+            self.forward(Hop::OwnAggregator, &placed);
         }
     }
 
@@ -248,45 +248,45 @@
         out: &mut Vec<Outgoing>,
     ) {
         let acting = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
-        let (leg, to) = match acting {
-            Some(addr) => (Leg::FromEntry, vec![addr]),
-            None => (Leg::Last, self.peers.by_lot()),
+        let (hop, to) = match acting {
+            Some(addr) => (Hop::OwnAggregator, vec![addr]),
+            None => (Hop::Final, self.peers.by_lot()),
         };
         for _ in 0..MAX_PLACED_MESSAGES {
             let parts = homes.take_untold(MAX_PLACED);
             if parts.is_empty() {
                 return;
             }
-            let message = Message::Placed(Placed { leg, parts });
+            let message = Message::Placements(Placements { hop, parts });
             out.push(Outgoing { to: to.clone(), message });
         }
     }
 
     /// Queues prompt parts for those that have to hear of them from here.
-    pub fn pass_on(&mut self, leg: Leg, parts: &[homes::Placed]) {
+    pub fn forward(&mut self, hop: Hop, parts: &[homes::Placed]) {
         let queue = |queue: &mut Vec<homes::Placed>| {
             queue.extend_from_slice(parts);
             let excess = queue.len().saturating_sub(MAX_WAITING);
             queue.drain(..excess);
         };
-        match leg {
-            Leg::FromEntry => {
+        match hop {
+            Hop::OwnAggregator => {
                 queue(&mut self.to_zone);
                 queue(&mut self.to_zones);
             }
-            Leg::FromZone => queue(&mut self.to_zone),
-            Leg::Last => {}
+            Hop::RemoteAggregator => queue(&mut self.to_zone),
+            Hop::Final => {}
         }
     }
 
-    pub(super) fn tell_passed_on(&mut self, now_ms: u64, out: &mut Vec<Outgoing>) {
+    pub(super) fn send_forwarded(&mut self, now_ms: u64, out: &mut Vec<Outgoing>) {
         let queues = [
-            (Leg::Last, std::mem::take(&mut self.to_zone), self.members(now_ms)),
-            (Leg::FromZone, std::mem::take(&mut self.to_zones), self.other_zones(now_ms)),
+            (Hop::Final, std::mem::take(&mut self.to_zone), self.members(now_ms)),
+            (Hop::RemoteAggregator, std::mem::take(&mut self.to_zones), self.other_zones(now_ms)),
         ];
-        for (leg, parts, to) in queues {
+        for (hop, parts, to) in queues {
             for parts in parts.chunks(MAX_PLACED) {
-                let message = Message::Placed(Placed { leg, parts: parts.to_vec() });
+                let message = Message::Placements(Placements { hop, parts: parts.to_vec() });
                 out.push(Outgoing { to: to.clone(), message });
             }
         }
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -66,19 +66,19 @@
 
 /// How far prompt parts have come on their way from the entry that placed them to all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leg {
+pub enum Hop {
     /// To an aggregator of the entry's zone, which passes them on to its zone and the other zones.
-    FromEntry,
+    OwnAggregator,
     /// To an aggregator of another zone, which passes them on to its zone.
-    FromZone,
+    RemoteAggregator,
     /// To their last receiver.
-    Last,
+    Final,
 }
 
 /// Prompt parts that were sent to endpoints.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
-    pub leg: Leg,
+pub struct Placements {
+    pub hop: Hop,
     pub parts: Vec<homes::Placed>,
 }
 
@@ -88,7 +88,7 @@
     State(State),
     Work(Work),
     Roster(roster::Roster),
-    Placed(Placed),
+    Placements(Placements),
     /// Limits that endpoints have named, told with an entry's state.
     Limits(Vec<limits::Told>),
     /// Endpoints that have said that they leave, likewise.
@@ -114,7 +114,7 @@
             Self::State(_) => "state",
             Self::Work(_) => "work",
             Self::Roster(_) => "roster",
-            Self::Placed(_) => "placed",
+            Self::Placements(_) => "placed",
             Self::Limits(_) => "limits",
             Self::Departures(_) => "departures",
             Self::Counts { .. } => "counts",
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -239,8 +239,8 @@
             Message::Roster(roster) => {
                 node.exchange.peers.take(&roster, now_ms);
             }
-            Message::Placed(placed) => {
-                node.exchange.pass_on(placed.leg, &placed.parts);
+            Message::Placements(placed) => {
+                node.exchange.forward(placed.hop, &placed.parts);
                 placed.parts.into_iter().for_each(|one| node.homes.note(one, now_ms));
             }
             Message::Limits(limits) => {
