--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -190,15 +190,15 @@
         Message::Counts { from, counts } => {
             shared.tally().take(counts.boot, &counts.counts);
             let receipt = control.settled.borrow_mut().take(&counts, shared.boot);
-            let message = Message::CountsTaken {
+            let message = Message::CountsAck {
                 from: shared.settings.peer_addr(),
-                keeper: shared.boot,
+                receiver_boot: shared.boot,
                 receipt,
             };
             send_all(control, vec![Outgoing { to: vec![from], message }]);
         }
-        Message::CountsTaken { from, keeper, receipt } => {
-            control.outbox.borrow_mut().take(from, keeper, receipt);
+        Message::CountsAck { from, receiver_boot, receipt } => {
+            control.outbox.borrow_mut().take(from, receiver_boot, receipt);
         }
     }
 }
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -99,9 +99,9 @@
         counts: delivery::Parcel,
     },
     /// Counts have come to this start of an entry.
-    CountsTaken {
+    CountsAck {
         from: SocketAddr,
-        keeper: u64,
+        receiver_boot: u64,
         receipt: delivery::Receipt,
     },
 }
@@ -118,7 +118,7 @@
             Self::Limits(_) => "limits",
             Self::Departures(_) => "departures",
             Self::Counts { .. } => "counts",
-            Self::CountsTaken { .. } => "counts_taken",
+            Self::CountsAck { .. } => "counts_taken",
         }
     }
 }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -256,11 +256,12 @@
             Message::Counts { from, counts } => {
                 node.tally.take(counts.boot, &counts.counts);
                 let receipt = node.settled.take(&counts, node.boot);
-                let message = Message::CountsTaken { from: node.addr, keeper: node.boot, receipt };
+                let message =
+                    Message::CountsAck { from: node.addr, receiver_boot: node.boot, receipt };
                 out.push(Outgoing { to: vec![from], message });
             }
-            Message::CountsTaken { from, keeper, receipt } => {
-                node.outbox.take(from, keeper, receipt);
+            Message::CountsAck { from, receiver_boot, receipt } => {
+                node.outbox.take(from, receiver_boot, receipt);
             }
         }
         self.send(index, out);
