--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -57,8 +57,8 @@
     /// What the others have to know at once when it changes.
     fn urgent(&self, role: Role) -> Urgent {
         let lease = self.lease.map(|told| (told.version, told.is_over));
-        let is_acting = role == Role::Aggregator;
-        let flags = [self.has_store, self.holds_duties, self.is_stopping, is_acting];
+        let is_aggregating = role == Role::Aggregator;
+        let flags = [self.has_store, self.holds_duties, self.is_stopping, is_aggregating];
         let versions = [
             self.config_version,
             self.directory_revision,
@@ -283,7 +283,7 @@
         {
             *at_ms = now_ms;
         }
-        if state.is_acting && state.zone == self.identity.zone {
+        if state.is_aggregating && state.zone == self.identity.zone {
             self.acting = Some((state.from, now_ms));
         }
         let mut out = Vec::new();
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -124,7 +124,7 @@
             holds_duties: local.holds_duties,
             is_stopping: local.is_stopping,
             is_joining: role == Role::Joining,
-            is_acting: role == Role::Aggregator,
+            is_aggregating: role == Role::Aggregator,
             live: u16::try_from(self.peers.live(now_ms)).unwrap_or(u16::MAX),
             lease: local.lease,
             gate: local.gate,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -30,7 +30,7 @@
     /// It has heard of no aggregator, and asks whoever hears this who else there is.
     pub is_joining: bool,
     /// It sums the work of its zone, and wants to hear of all there.
-    pub is_acting: bool,
+    pub is_aggregating: bool,
     /// Live entries that it knows.
     pub live: u16,
     /// The newest that is known of the lease of the duties, where its holder tells of it.
