--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -172,9 +172,9 @@
     let now_ms = control.now_ms();
     let shared = &control.shared;
     match message {
-        Message::State(state) => take_state(control, &state, now_ms),
+        Message::State(state) => handle_state(control, &state, now_ms),
         Message::Work(work) => {
-            control.exchange.borrow_mut().take_work(&work, &mut shared.book(), now_ms);
+            control.exchange.borrow_mut().handle_work(&work, &mut shared.book(), now_ms);
         }
         Message::Roster(roster) => {
             let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
@@ -207,7 +207,7 @@
     slog::info!(control.log, "peer heard"; "peer" => addr.to_string());
 }
 
-fn take_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
+fn handle_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
     shared.gate.take(state.gate, now_ms);
     control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
@@ -219,7 +219,7 @@
         }
     }
     let local = local_state(control, now_ms);
-    let (is_new, answers) = control.exchange.borrow_mut().take_state(state, &local, now_ms);
+    let (is_new, answers) = control.exchange.borrow_mut().handle_state(state, &local, now_ms);
     if is_new {
         note_peer(control, state.from);
     }
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -267,7 +267,7 @@
     }
 
     /// Takes what another entry tells of itself. Gives whether its start is new, and what to answer.
-    pub fn take_state(
+    pub fn handle_state(
         &mut self,
         state: &State,
         local: &LocalState,
@@ -314,7 +314,7 @@
     }
 
     /// Takes part of a table of work.
-    pub fn take_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
+    pub fn handle_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
                 if self.peers.is_before(work.from) {
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -233,9 +233,9 @@
         match message {
             Message::State(state) => {
                 node.evacuations.adopt(&state.evacuations, now_ms);
-                out = node.exchange.take_state(&state, &local, now_ms).1;
+                out = node.exchange.handle_state(&state, &local, now_ms).1;
             }
-            Message::Work(work) => node.exchange.take_work(&work, &mut node.book, now_ms),
+            Message::Work(work) => node.exchange.handle_work(&work, &mut node.book, now_ms),
             Message::Roster(roster) => {
                 node.exchange.peers.take(&roster, now_ms);
             }
