--- a/src/gateway/duties/duty.rs
+++ b/src/gateway/duties/duty.rs
@@ -162,4 +162,4 @@
 }
 
 /// A peer that is gone no longer holds the duties for this entry.
-const _: () = assert!(peers::GONE_MS < TERMS.term_ms, "a vacancy is noticed within a term");
+const _: () = assert!(peers::PEER_TIMEOUT_MS < TERMS.term_ms, "a vacancy is noticed within a term");
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -22,7 +22,7 @@
 /// Entries that one without an aggregator tells each time, at most; of a larger fleet a part by lot.
 const FAN_OUT: usize = 64;
 /// A peer that nobody heard of for this long counts as gone for duties and shares.
-pub(in crate::gateway) const GONE_MS: u64 = 1_700;
+pub(in crate::gateway) const PEER_TIMEOUT_MS: u64 = 1_700;
 /// A peer that nobody heard of for this long is not sent what an aggregator is sent.
 const ABSENT_MS: u64 = 1_200;
 /// A peer that is gone for this long is forgotten and no longer told anything.
@@ -50,7 +50,7 @@
 
 impl Peer {
     fn is_live(&self, now_ms: u64) -> bool {
-        now_ms < self.heard_ms + GONE_MS
+        now_ms < self.heard_ms + PEER_TIMEOUT_MS
     }
 
     fn same_but_heard(&self, other: &Self) -> bool {
