--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -32,7 +32,7 @@
 /// Time in which an entry that starts hears of all others.
 const SETTLE_MS: u64 = 2_000;
 /// Aggregators of an availability zone: the one that acts and the one that stands by.
-pub(in crate::gateway) const AGGREGATORS: usize = 2;
+pub(in crate::gateway) const AGGREGATORS_PER_ZONE: usize = 2;
 
 /// What is known of another entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -328,7 +328,7 @@
     /// The first peers of a zone to aggregate its work: the strongest.
     #[must_use]
     pub fn aggregators(&self, zone: &str, now_ms: u64) -> Vec<SocketAddr> {
-        first(self.candidates(zone, now_ms), AGGREGATORS)
+        first(self.candidates(zone, now_ms), AGGREGATORS_PER_ZONE)
     }
 
     /// Live peers of this zone, with their starts.
