--- a/src/gateway/duties/duty.rs
+++ b/src/gateway/duties/duty.rs
@@ -125,18 +125,18 @@
 
 /// Whether this entry is one of the next in line for the duties.
 fn stands_by<P>(control: &Control<P>, now_ms: u64) -> bool {
-    control.shared.is_ready() && control.exchange.borrow().peers.rank(now_ms) <= STAND_BY
+    control.shared.is_ready() && control.exchange.borrow().peers.duty_rank(now_ms) <= STAND_BY
 }
 
 /// Whether this entry contends: nobody is heard to hold the duties, and it is this one's turn.
 fn may_contend<P>(control: &Control<P>, now_ms: u64, vacant_since_ms: &mut Option<u64>) -> bool {
     let peers = &control.exchange.borrow().peers;
-    if !control.shared.is_ready() || peers.holder(now_ms).is_some() {
+    if !control.shared.is_ready() || peers.duty_holder(now_ms).is_some() {
         *vacant_since_ms = None;
         return false;
     }
     let since_ms = *vacant_since_ms.get_or_insert(now_ms);
-    now_ms >= since_ms + VACANT_MS + peers.rank(now_ms) as u64 * VACANT_RANK_MS
+    now_ms >= since_ms + VACANT_MS + peers.duty_rank(now_ms) as u64 * VACANT_RANK_MS
 }
 
 async fn read<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -96,8 +96,8 @@
     let own = control.counts();
     let (keepers, entries) = {
         let peers = &control.exchange.borrow().peers;
-        let mut keepers: Vec<SocketAddr> = peers.holder(now_ms).into_iter().collect();
-        for addr in peers.next_in_line(KEEPERS, now_ms) {
+        let mut keepers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+        for addr in peers.duty_successors(KEEPERS, now_ms) {
             if keepers.len() < KEEPERS && !keepers.contains(&addr) {
                 keepers.push(addr);
             }
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -220,7 +220,7 @@
 
     /// The live peer that says that it holds the duties.
     #[must_use]
-    pub fn holder(&self, now_ms: u64) -> Option<SocketAddr> {
+    pub fn duty_holder(&self, now_ms: u64) -> Option<SocketAddr> {
         let mut holders =
             self.live_peers(now_ms).filter(|(_, peer)| peer.holds_duties && !peer.is_stopping);
         holders.next().map(|(addr, _)| *addr)
@@ -228,7 +228,7 @@
 
     /// Live peers that contend for the duties before this entry does: the strongest first.
     #[must_use]
-    pub fn rank(&self, now_ms: u64) -> usize {
+    pub fn duty_rank(&self, now_ms: u64) -> usize {
         let before = self
             .live_peers(now_ms)
             .filter(|(addr, peer)| !peer.is_stopping && self.goes_before(peer.millicores, **addr));
@@ -237,7 +237,7 @@
 
     /// The peers that are next in line for the duties.
     #[must_use]
-    pub fn next_in_line(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn duty_successors(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
         first(self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping), most)
     }
 
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -384,8 +384,8 @@
 
 pub fn counts(node: &mut Node, now_ms: u64) -> Vec<Outgoing> {
     let peers = &node.exchange.peers;
-    let mut keepers: Vec<SocketAddr> = peers.holder(now_ms).into_iter().collect();
-    keepers.extend(peers.next_in_line(2, now_ms));
+    let mut keepers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+    keepers.extend(peers.duty_successors(2, now_ms));
     keepers.dedup();
     keepers.truncate(2);
     let own = node.tally.newest_of(node.boot, 6);
