--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -271,7 +271,7 @@
 
     /// Whether enough others of this zone would read the store before this entry.
     pub(super) fn is_behind_readers(&self) -> bool {
-        self.exchange.borrow().peers.reading_rank(self.now_ms()) >= FIRST_READERS
+        self.exchange.borrow().peers.store_reader_rank(self.now_ms()) >= FIRST_READERS
     }
 
     /// Whether this entry reads the store for its zone. The others learn from their aggregator, so that the
@@ -281,7 +281,7 @@
         let peers = &self.exchange.borrow().peers;
         let zones = 1 + peers.other_zones(now_ms).len();
         let readers = if zones >= MANY_ZONES { 1 } else { 2 };
-        peers.readers_before(now_ms) < readers
+        peers.active_readers_before(now_ms) < readers
     }
 
     /// Takes a configuration, if it is newer than the one in force.
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -257,13 +257,13 @@
 
     /// How many of these the store answers, so that they do read it.
     #[must_use]
-    pub fn readers_before(&self, now_ms: u64) -> usize {
+    pub fn active_readers_before(&self, now_ms: u64) -> usize {
         self.before(now_ms).filter(|peer| peer.has_store).count()
     }
 
     /// How many these are, whether the store answers them or not.
     #[must_use]
-    pub fn reading_rank(&self, now_ms: u64) -> usize {
+    pub fn store_reader_rank(&self, now_ms: u64) -> usize {
         self.before(now_ms).count()
     }
 
