--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -102,7 +102,7 @@
                 keepers.push(addr);
             }
         }
-        (keepers, 1 + peers.live(now_ms))
+        (keepers, 1 + peers.live_count(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
     for (addr, counts) in outbox.parcels(&keepers, &own, shared.settled_ms()) {
@@ -120,20 +120,26 @@
     let mut exchange = control.exchange.borrow_mut();
     let peers = &mut exchange.peers;
     peers.forget(now_ms);
-    let sharing = peers.sharing(now_ms);
+    let sharing = peers.budget_sharers(now_ms);
     control.shared.entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
     let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
     control.shared.sharers.store(sharing, Ordering::Relaxed);
-    control.shared.serving_others.store(peers.serving(now_ms), Ordering::Relaxed);
+    control.shared.serving_others.store(peers.serving_count(now_ms), Ordering::Relaxed);
     let snapshot = control.shared.snapshot.load();
     let limited = control.shared.limits().count();
     let leaving = {
         let departures = control.shared.departures();
         snapshot.directory.endpoints().iter().filter(|one| departures.has(one)).count()
     };
-    measures::known(&snapshot, limited, leaving, peers.live(now_ms), control.holds_duties.get());
+    measures::known(
+        &snapshot,
+        limited,
+        leaving,
+        peers.live_count(now_ms),
+        control.holds_duties.get(),
+    );
 }
 
 fn send_all<P>(control: &Control<P>, outgoing: Vec<Outgoing>) {
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -183,7 +183,7 @@
         if now_ms < self.rejoins_until_ms {
             return Role::Joining;
         }
-        if now_ms >= self.heard_ms + LOST_MS && self.peers.live(now_ms) == 0 {
+        if now_ms >= self.heard_ms + LOST_MS && self.peers.live_count(now_ms) == 0 {
             return Role::Joining;
         }
         let before = self.peers.aggregators_before(now_ms) as u64;
@@ -291,7 +291,7 @@
         let is_astray = state.zone != self.identity.zone
             && self.peers.aggregators(&state.zone, now_ms).first() != Some(&state.from);
         // One that was frozen or cut off knows few others, and nobody might tell it of the rest.
-        let is_behind = usize::from(state.live) * 4 < self.peers.live(now_ms) * 3;
+        let is_behind = usize::from(state.live) * 4 < self.peers.live_count(now_ms) * 3;
         if state.is_joining || is_astray || is_behind {
             let to = vec![state.from];
             if state.is_joining || is_behind {
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -125,7 +125,7 @@
             is_stopping: local.is_stopping,
             is_joining: role == Role::Joining,
             is_aggregating: role == Role::Aggregator,
-            live: u16::try_from(self.peers.live(now_ms)).unwrap_or(u16::MAX),
+            live: u16::try_from(self.peers.live_count(now_ms)).unwrap_or(u16::MAX),
             lease: local.lease,
             gate: local.gate,
             evacuations: local.evacuations.clone(),
--- a/src/gateway/fleet/members.rs
+++ b/src/gateway/fleet/members.rs
@@ -30,7 +30,7 @@
             is_enrolled = enrol_once(&control, &key, own).await;
         }
         let now_ms = control.now_ms();
-        if now_ms < next_list_ms || control.exchange.borrow().peers.live(now_ms) > 0 {
+        if now_ms < next_list_ms || control.exchange.borrow().peers.live_count(now_ms) > 0 {
             continue;
         }
         next_list_ms = now_ms + LIST_MS;
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -202,7 +202,7 @@
 
     /// Peers heard of within this time.
     #[must_use]
-    pub fn live(&self, now_ms: u64) -> usize {
+    pub fn live_count(&self, now_ms: u64) -> usize {
         self.live_peers(now_ms).count()
     }
 
@@ -214,7 +214,7 @@
 
     /// Live peers that are not stopping.
     #[must_use]
-    pub fn serving(&self, now_ms: u64) -> usize {
+    pub fn serving_count(&self, now_ms: u64) -> usize {
         self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping).count()
     }
 
@@ -289,7 +289,7 @@
     /// Whether this entry hears at least half of the entries that it knew, itself among them.
     #[must_use]
     pub fn hears_half(&self, now_ms: u64) -> bool {
-        2 * (1 + self.live(now_ms)) > self.heard.len()
+        2 * (1 + self.live_count(now_ms)) > self.heard.len()
     }
 
     /// Whether there is no other entry: neither a seed nor any that was heard.
@@ -394,7 +394,7 @@
 
     /// Entries that share the retry budget, this one among them.
     #[must_use]
-    pub fn sharing(&self, now_ms: u64) -> usize {
+    pub fn budget_sharers(&self, now_ms: u64) -> usize {
         let recent = |known: &&Known| now_ms < known.peer.heard_ms + SHARES_MS;
         1 + self.heard.values().filter(recent).count().max(self.seeds.len())
     }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -279,7 +279,8 @@
     /// Fewest and most live others that any live entry knows.
     pub fn known(&self) -> (usize, usize) {
         let alive = self.nodes.iter().filter(|node| !node.is_silent);
-        let known: Vec<usize> = alive.map(|node| node.exchange.peers.live(self.now_ms)).collect();
+        let known: Vec<usize> =
+            alive.map(|node| node.exchange.peers.live_count(self.now_ms)).collect();
         (*known.iter().min().expect("entries"), *known.iter().max().expect("entries"))
     }
 
