--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -183,7 +183,7 @@
             control.exchange.borrow_mut().handle_work(&work, &mut shared.book(), now_ms);
         }
         Message::Roster(roster) => {
-            let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
+            let new = control.exchange.borrow_mut().peers.merge_roster(&roster, now_ms);
             new.into_iter().for_each(|addr| note_peer(control, addr));
         }
         Message::Placements(placed) => {
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -274,7 +274,7 @@
         now_ms: u64,
     ) -> (bool, Vec<Outgoing>) {
         self.heard_ms = now_ms;
-        let is_new = self.peers.note(state.from, state.peer(now_ms), now_ms);
+        let is_new = self.peers.update(state.from, state.peer(now_ms), now_ms);
         if self.peers.is_before(state.from) && state.zone == self.identity.zone {
             self.senior_ms = now_ms;
         }
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -97,7 +97,7 @@
             to.extend(self.peers.silent(now_ms));
         }
         let state = self.state(local, role, now_ms);
-        self.peers.note_own(&state.peer(now_ms));
+        self.peers.update_own(&state.peer(now_ms));
         for limits in local.limits.chunks(MAX_LIMITS) {
             let message = Message::Limits(limits.to_vec());
             out.push(Outgoing { to: to.clone(), message });
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -139,7 +139,7 @@
     }
 
     /// Notes what the others are told of this entry itself.
-    pub fn note_own(&mut self, own: &Peer) {
+    pub fn update_own(&mut self, own: &Peer) {
         self.own_tag = own.tag(self.own);
         self.is_stopping = own.is_stopping;
     }
@@ -150,7 +150,7 @@
     }
 
     /// Takes what is known of a peer, if it is newer. Gives whether this start of it is new.
-    pub fn note(&mut self, addr: SocketAddr, peer: Peer, now_ms: u64) -> bool {
+    pub fn update(&mut self, addr: SocketAddr, peer: Peer, now_ms: u64) -> bool {
         if addr == self.own {
             return false;
         }
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -72,7 +72,7 @@
 
 impl Peers {
     /// Takes what another entry has told. Gives the peers whose start is new.
-    pub fn take(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn merge_roster(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
         // The way here counts as well: without it, what goes round would stay young.
         let heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
         for (tag, age) in &roster.tags {
@@ -92,7 +92,7 @@
                 holds_duties: row.holds_duties,
                 is_stopping: row.is_stopping,
             };
-            if self.note(row.addr, peer, now_ms) {
+            if self.update(row.addr, peer, now_ms) {
                 new.push(row.addr);
             }
         }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -237,7 +237,7 @@
             }
             Message::Work(work) => node.exchange.handle_work(&work, &mut node.book, now_ms),
             Message::Roster(roster) => {
-                node.exchange.peers.take(&roster, now_ms);
+                node.exchange.peers.merge_roster(&roster, now_ms);
             }
             Message::Placements(placed) => {
                 node.exchange.forward(placed.hop, &placed.parts);
