--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -215,9 +215,10 @@
         let is_settled =
             self.joined_since_ms.is_some_and(|since_ms| now_ms >= since_ms + SETTLE_MS);
         let is_known = is_settled || self.peers.is_only_entry();
-        let hears_half = self.peers.hears_half(now_ms);
-        let candidates = if is_known { self.peers.keepers(hears_half, now_ms) } else { Vec::new() };
-        self.keepers.see(candidates, hears_half, now_ms);
+        let has_quorum = self.peers.has_quorum(now_ms);
+        let candidates =
+            if is_known { self.peers.warmup_candidates(has_quorum, now_ms) } else { Vec::new() };
+        self.keepers.see(candidates, has_quorum, now_ms);
     }
 
     /// What to send now. `is_news`: work has come that others have to know of at once.
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -272,9 +272,9 @@
     /// Those that half of the fleet goes on with take over from the dead. An entry that hears fewer of those it
     /// heard before may itself be cut off with them, so its part never grows: it goes by all that it knew.
     #[must_use]
-    pub fn keepers(&self, hears_half: bool, now_ms: u64) -> Vec<warmup::Candidate> {
+    pub fn warmup_candidates(&self, has_quorum: bool, now_ms: u64) -> Vec<warmup::Candidate> {
         let heard = self.heard.iter().filter(|(_, known)| {
-            !hears_half || (known.peer.is_live(now_ms) && !known.peer.is_stopping)
+            !has_quorum || (known.peer.is_live(now_ms) && !known.peer.is_stopping)
         });
         let heard = heard.map(|(addr, known)| (*addr, &known.peer.zone));
         let own = (!self.is_stopping).then_some((self.own, &self.zone));
@@ -288,7 +288,7 @@
 
     /// Whether this entry hears at least half of the entries that it knew, itself among them.
     #[must_use]
-    pub fn hears_half(&self, now_ms: u64) -> bool {
+    pub fn has_quorum(&self, now_ms: u64) -> bool {
         2 * (1 + self.live_count(now_ms)) > self.heard.len()
     }
 
