--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -108,7 +108,7 @@
                 else {
                     continue;
                 };
-                let keeps = exchange.keeps(endpoint.key, &endpoint.zone);
+                let keeps = exchange.is_sole_sender(endpoint.key, &endpoint.zone);
                 let allowed =
                     warmup::Allowed { until_ms, most_per_s: if keeps { most_per_s } else { 0 } };
                 warming.endpoints.insert(endpoint.key, allowed);
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -197,7 +197,7 @@
     /// Whether this entry alone sends to an endpoint of this zone while it is cold, as far as it knows. One
     /// that has just joined may not know of others that think the same of themselves.
     #[must_use]
-    pub fn keeps(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
+    pub fn is_sole_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
         self.keepers.is_keeper(self.identity.addr, endpoint, zone)
     }
 
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -65,7 +65,7 @@
             let most_per_s = warmup::most_per_s(PER_S, FACTOR, EXTRA);
             let allowed = |endpoint: usize| {
                 let zone = ZONES[endpoint % self.zones];
-                let keeps = node.exchange.keeps(key(endpoint), zone);
+                let keeps = node.exchange.is_sole_sender(key(endpoint), zone);
                 Allowed { until_ms: u64::MAX, most_per_s: if keeps { most_per_s } else { 0 } }
             };
             self.warming[index].endpoints =
