--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -87,14 +87,14 @@
             }
             Role::Member => self.aggregators(now_ms),
             Role::Joining => {
-                let mut to = self.peers.to_join();
+                let mut to = self.peers.join_targets();
                 to.extend(self.aggregators(now_ms));
                 to
             }
         };
         if role == Role::Aggregator && now_ms >= self.last.seeds_ms + SEEDS_MS {
             self.last.seeds_ms = now_ms;
-            to.extend(self.peers.silent(now_ms));
+            to.extend(self.peers.probe_targets(now_ms));
         }
         let state = self.state(local, role, now_ms);
         self.peers.update_own(&state.peer(now_ms));
@@ -250,7 +250,7 @@
         let acting = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
         let (hop, to) = match acting {
             Some(addr) => (Hop::OwnAggregator, vec![addr]),
-            None => (Hop::Final, self.peers.by_lot()),
+            None => (Hop::Final, self.peers.random_peers()),
         };
         for _ in 0..MAX_PLACED_MESSAGES {
             let parts = homes.take_untold(MAX_PLACED);
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -356,14 +356,14 @@
 
     /// Entries by lot, for one that has no aggregator to pass on what it has to tell.
     #[must_use]
-    pub fn by_lot(&self) -> Vec<SocketAddr> {
+    pub fn random_peers(&self) -> Vec<SocketAddr> {
         self.heard.keys().copied().choose_multiple(&mut self.draw(), FAN_OUT)
     }
 
     /// Whom an entry tells of itself that has no aggregator: its seeds, and by lot those that it was told
     /// of, its own zone and all others.
     #[must_use]
-    pub fn to_join(&self) -> Vec<SocketAddr> {
+    pub fn join_targets(&self) -> Vec<SocketAddr> {
         /// Of those told of and of the own zone.
         const SOME: usize = 16;
         /// Of all others.
@@ -381,7 +381,7 @@
     /// Seeds, and some former peers by lot, that are not heard of: behind a cut there may be another part of
     /// the fleet.
     #[must_use]
-    pub fn silent(&self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn probe_targets(&self, now_ms: u64) -> Vec<SocketAddr> {
         const FEW: usize = 4;
         let is_live = |addr: &SocketAddr| {
             self.heard.get(addr).is_some_and(|known| known.peer.is_live(now_ms))
