--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -119,7 +119,7 @@
 fn update_entries<P>(control: &Control<P>, now_ms: u64) {
     let mut exchange = control.exchange.borrow_mut();
     let peers = &mut exchange.peers;
-    peers.forget(now_ms);
+    peers.remove_expired(now_ms);
     let sharing = peers.budget_sharers(now_ms);
     control.shared.entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -219,7 +219,7 @@
             return;
         }
         self.last.roster_ms = now_ms;
-        self.peers.next_turn();
+        self.peers.advance_round();
         let zone = self.identity.zone.clone();
         let rosters = [
             (self.other_zones(now_ms), self.peers.roster(Scope::Zone(&zone), now_ms)),
--- a/src/gateway/fleet/members.rs
+++ b/src/gateway/fleet/members.rs
@@ -40,7 +40,7 @@
                 text.parse().ok()
             });
             let peers = &mut control.exchange.borrow_mut().peers;
-            addrs.for_each(|addr| peers.name(addr));
+            addrs.for_each(|addr| peers.add_discovered(addr));
         }
     }
 }
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -109,7 +109,7 @@
     /// This entry is stopping.
     is_stopping: bool,
     /// Rosters told so far, for the turn in which each peer is told in full.
-    turn: usize,
+    round: usize,
     /// Lots drawn so far.
     lots: Cell<u64>,
 }
@@ -133,7 +133,7 @@
             is_pulling: false,
             beyond_ms: HashMap::new(),
             is_stopping: false,
-            turn: 0,
+            round: 0,
             lots: Cell::new(0),
         }
     }
@@ -145,8 +145,8 @@
     }
 
     /// Begins the next turn of rosters.
-    pub fn next_turn(&mut self) {
-        self.turn += 1;
+    pub fn advance_round(&mut self) {
+        self.round += 1;
     }
 
     /// Takes what is known of a peer, if it is newer. Gives whether this start of it is new.
@@ -406,7 +406,7 @@
     }
 
     /// Forgets peers that have been gone for long.
-    pub fn forget(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.heard.retain(|_, known| now_ms < known.peer.heard_ms + FORGET_MS);
         let heard = &self.heard;
         self.by_tag.retain(|_, addr| heard.contains_key(addr));
@@ -422,7 +422,7 @@
     }
 
     /// Notes where an entry may be.
-    pub fn name(&mut self, addr: SocketAddr) {
+    pub fn add_discovered(&mut self, addr: SocketAddr) {
         /// More than the entries of the largest fleet.
         const MAX_NAMED: usize = 1_000;
         if addr != self.own && !self.heard.contains_key(&addr) && self.named.len() < MAX_NAMED {
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -117,10 +117,10 @@
     /// What to tell of the live peers: those that have changed, and in turn all others, in full.
     pub fn roster(&self, scope: Scope<'_>, now_ms: u64) -> Roster {
         /// So many rosters tell of each peer in full once.
-        const FULL_TURNS: usize = 24;
+        const FULL_ROUNDS: usize = 24;
         /// So many rosters tell once of each peer that is well by its tag.
-        const TAG_TURNS: usize = 4;
-        let turn = self.turn;
+        const TAG_ROUNDS: usize = 4;
+        let round = self.round;
         let mut zones: BTreeMap<&CompactString, Whole> = BTreeMap::new();
         let own = Whole { zone: self.zone.clone(), tags: self.own_tag, age: 0 };
         zones.insert(&self.zone, own);
@@ -137,10 +137,10 @@
         });
         let mut roster = Roster::default();
         for (addr, known) in self.live_of(scope, now_ms) {
-            let is_its_turn = known.tag as usize % FULL_TURNS == turn % FULL_TURNS;
+            let is_its_turn = known.tag as usize % FULL_ROUNDS == round % FULL_ROUNDS;
             if is_its_turn || now_ms < known.changed_ms + CHANGED_MS {
                 roster.rows.push(row(*addr, &known.peer, now_ms));
-            } else if turn.is_multiple_of(TAG_TURNS) || !zones.contains_key(&known.peer.zone) {
+            } else if round.is_multiple_of(TAG_ROUNDS) || !zones.contains_key(&known.peer.zone) {
                 roster.tags.push((known.tag, age(&known.peer, now_ms)));
             }
         }
