--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -186,7 +186,7 @@
         if now_ms >= self.heard_ms + LOST_MS && self.peers.live_count(now_ms) == 0 {
             return Role::Joining;
         }
-        let before = self.peers.aggregators_before(now_ms) as u64;
+        let before = self.peers.aggregator_rank(now_ms) as u64;
         if before == 0 || now_ms >= self.senior_ms + TAKEOVER_MS * before {
             return Role::Aggregator;
         }
@@ -276,7 +276,7 @@
     ) -> (bool, Vec<Outgoing>) {
         self.heard_ms = now_ms;
         let is_new = self.peers.update(state.from, state.peer(now_ms), now_ms);
-        if self.peers.is_before(state.from) && state.zone == self.identity.zone {
+        if self.peers.outranks_own(state.from) && state.zone == self.identity.zone {
             self.senior_ms = now_ms;
         }
         if let Some((aggregator, at_ms)) = &mut self.aggregator
@@ -318,7 +318,7 @@
     pub fn handle_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
-                if self.peers.is_before(work.from) {
+                if self.peers.outranks_own(work.from) {
                     self.senior_ms = now_ms;
                 }
                 self.aggregator = Some((work.from, now_ms));
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -229,9 +229,9 @@
     /// Live peers that contend for the duties before this entry does: the strongest first.
     #[must_use]
     pub fn duty_rank(&self, now_ms: u64) -> usize {
-        let before = self
-            .live_peers(now_ms)
-            .filter(|(addr, peer)| !peer.is_stopping && self.goes_before(peer.millicores, **addr));
+        let before = self.live_peers(now_ms).filter(|(addr, peer)| {
+            !peer.is_stopping && self.ranks_before_own(peer.millicores, **addr)
+        });
         before.count()
     }
 
@@ -298,21 +298,23 @@
         self.seeds.is_empty() && self.heard.is_empty()
     }
 
-    fn goes_before(&self, millicores: u16, addr: SocketAddr) -> bool {
+    fn ranks_before_own(&self, millicores: u16, addr: SocketAddr) -> bool {
         (Reverse(millicores), addr) < (Reverse(self.millicores), self.own)
     }
 
     /// Peers of this zone that aggregate before this entry does.
     #[must_use]
-    pub fn aggregators_before(&self, now_ms: u64) -> usize {
+    pub fn aggregator_rank(&self, now_ms: u64) -> usize {
         let candidates = self.candidates(&self.zone, now_ms);
-        candidates.filter(|(addr, peer)| self.goes_before(peer.millicores, **addr)).count()
+        candidates.filter(|(addr, peer)| self.ranks_before_own(peer.millicores, **addr)).count()
     }
 
     /// Whether that peer aggregates before this entry does.
     #[must_use]
-    pub fn is_before(&self, addr: SocketAddr) -> bool {
-        self.heard.get(&addr).is_some_and(|known| self.goes_before(known.peer.millicores, addr))
+    pub fn outranks_own(&self, addr: SocketAddr) -> bool {
+        self.heard
+            .get(&addr)
+            .is_some_and(|known| self.ranks_before_own(known.peer.millicores, addr))
     }
 
     fn candidates<'a>(
