--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -134,7 +134,7 @@
     /// Who last told of another zone, and when.
     zone_aggregators: HashMap<CompactString, (SocketAddr, u64)>,
     /// When any other entry told of itself.
-    heard_ms: u64,
+    last_heard_ms: u64,
     /// Until when this entry joins as if it had just started.
     rejoins_until_ms: u64,
     /// Since when this entry aggregates or has an aggregator, without a break.
@@ -163,7 +163,7 @@
             aggregator: None,
             acting: None,
             zone_aggregators: HashMap::new(),
-            heard_ms: 0,
+            last_heard_ms: 0,
             rejoins_until_ms: 0,
             joined_since_ms: None,
             keepers: warmup::Keepers::default(),
@@ -183,7 +183,7 @@
         if now_ms < self.rejoins_until_ms {
             return Role::Joining;
         }
-        if now_ms >= self.heard_ms + LOST_MS && self.peers.live_count(now_ms) == 0 {
+        if now_ms >= self.last_heard_ms + LOST_MS && self.peers.live_count(now_ms) == 0 {
             return Role::Joining;
         }
         let before = self.peers.aggregator_rank(now_ms) as u64;
@@ -274,7 +274,7 @@
         local: &LocalState,
         now_ms: u64,
     ) -> (bool, Vec<Outgoing>) {
-        self.heard_ms = now_ms;
+        self.last_heard_ms = now_ms;
         let is_new = self.peers.update(state.from, state.peer(now_ms), now_ms);
         if self.peers.outranks_own(state.from) && state.zone == self.identity.zone {
             self.senior_ms = now_ms;
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -45,7 +45,7 @@
     pub fn peer(&self, now_ms: u64) -> peers::Peer {
         peers::Peer {
             boot: self.boot,
-            heard_ms: now_ms,
+            last_heard_ms: now_ms,
             zone: self.zone.clone(),
             millicores: self.millicores,
             has_store: self.has_store,
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -39,7 +39,7 @@
 pub struct Peer {
     pub boot: u64,
     /// When somebody heard it last, on this entry's clock.
-    pub heard_ms: u64,
+    pub last_heard_ms: u64,
     pub zone: CompactString,
     /// What its instance can carry, in thousandths of a core.
     pub millicores: u16,
@@ -50,11 +50,11 @@
 
 impl Peer {
     fn is_live(&self, now_ms: u64) -> bool {
-        now_ms < self.heard_ms + PEER_TIMEOUT_MS
+        now_ms < self.last_heard_ms + PEER_TIMEOUT_MS
     }
 
     fn same_but_heard(&self, other: &Self) -> bool {
-        Self { heard_ms: other.heard_ms, ..self.clone() } == *other
+        Self { last_heard_ms: other.last_heard_ms, ..self.clone() } == *other
     }
 
     /// Names this state of the peer in messages.
@@ -81,11 +81,11 @@
 
 impl Known {
     /// Somebody heard the peer then. One that had been gone has changed.
-    fn heard(&mut self, heard_ms: u64, now_ms: u64) {
+    fn heard(&mut self, last_heard_ms: u64, now_ms: u64) {
         if !self.peer.is_live(now_ms) {
             self.changed_ms = now_ms;
         }
-        self.peer.heard_ms = self.peer.heard_ms.max(heard_ms);
+        self.peer.last_heard_ms = self.peer.last_heard_ms.max(last_heard_ms);
     }
 }
 
@@ -157,14 +157,14 @@
         self.named.remove(&addr);
         let before = self.heard.get_mut(&addr);
         if let Some(known) = &before
-            && known.peer.heard_ms > peer.heard_ms
+            && known.peer.last_heard_ms > peer.last_heard_ms
         {
             return false;
         }
         if let Some(known) = before
             && known.peer.same_but_heard(&peer)
         {
-            known.heard(peer.heard_ms, now_ms);
+            known.heard(peer.last_heard_ms, now_ms);
             return false;
         }
         let tag = peer.tag(addr);
@@ -208,7 +208,7 @@
 
     /// Starts of peers that somebody has heard since.
     pub fn boots_since(&self, since_ms: u64) -> impl Iterator<Item = u64> {
-        let heard = self.heard.values().filter(move |known| known.peer.heard_ms >= since_ms);
+        let heard = self.heard.values().filter(move |known| known.peer.last_heard_ms >= since_ms);
         heard.map(|known| known.peer.boot)
     }
 
@@ -322,8 +322,9 @@
         zone: &'a str,
         now_ms: u64,
     ) -> impl Iterator<Item = (&'a SocketAddr, &'a Peer)> {
-        let present =
-            self.live_peers(now_ms).filter(move |(_, peer)| now_ms < peer.heard_ms + ABSENT_MS);
+        let present = self
+            .live_peers(now_ms)
+            .filter(move |(_, peer)| now_ms < peer.last_heard_ms + ABSENT_MS);
         present.filter(move |(_, peer)| peer.zone == zone && !peer.is_stopping)
     }
 
@@ -397,7 +398,7 @@
     /// Entries that share the retry budget, this one among them.
     #[must_use]
     pub fn budget_sharers(&self, now_ms: u64) -> usize {
-        let recent = |known: &&Known| now_ms < known.peer.heard_ms + SHARES_MS;
+        let recent = |known: &&Known| now_ms < known.peer.last_heard_ms + SHARES_MS;
         1 + self.heard.values().filter(recent).count().max(self.seeds.len())
     }
 
@@ -409,7 +410,7 @@
 
     /// Forgets peers that have been gone for long.
     pub fn remove_expired(&mut self, now_ms: u64) {
-        self.heard.retain(|_, known| now_ms < known.peer.heard_ms + FORGET_MS);
+        self.heard.retain(|_, known| now_ms < known.peer.last_heard_ms + FORGET_MS);
         let heard = &self.heard;
         self.by_tag.retain(|_, addr| heard.contains_key(addr));
     }
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -74,18 +74,18 @@
     /// Takes what another entry has told. Gives the peers whose start is new.
     pub fn merge_roster(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
         // The way here counts as well: without it, what goes round would stay young.
-        let heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
+        let last_heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
         for (tag, age) in &roster.tags {
             let addr = self.by_tag.get(tag);
             if let Some(known) = addr.and_then(|addr| self.heard.get_mut(addr)) {
-                known.heard(heard_ms(*age), now_ms);
+                known.heard(last_heard_ms(*age), now_ms);
             }
         }
         let mut new = Vec::new();
         for row in &roster.rows {
             let peer = Peer {
                 boot: row.boot,
-                heard_ms: heard_ms(row.age),
+                last_heard_ms: last_heard_ms(row.age),
                 zone: row.zone.clone(),
                 millicores: row.millicores,
                 has_store: row.has_store,
@@ -97,12 +97,12 @@
             }
         }
         for whole in &roster.whole {
-            self.take_whole(whole, heard_ms(whole.age), now_ms);
+            self.take_whole(whole, last_heard_ms(whole.age), now_ms);
         }
         new
     }
 
-    fn take_whole(&mut self, whole: &Whole, heard_ms: u64, now_ms: u64) {
+    fn take_whole(&mut self, whole: &Whole, last_heard_ms: u64, now_ms: u64) {
         let own_tag = if whole.zone == self.zone { self.own_tag } else { 0 };
         let live = self.live_of(Scope::Zone(&whole.zone), now_ms);
         if live.fold(own_tag, |tags, (_, known)| tags ^ known.tag) != whole.tags {
@@ -110,7 +110,7 @@
         }
         let peers = self.heard.values_mut().map(|known| &mut known.peer);
         for peer in peers.filter(|peer| peer.zone == whole.zone && peer.is_live(now_ms)) {
-            peer.heard_ms = peer.heard_ms.max(heard_ms);
+            peer.last_heard_ms = peer.last_heard_ms.max(last_heard_ms);
         }
     }
 
@@ -183,6 +183,6 @@
 
 fn age(peer: &Peer, now_ms: u64) -> u8 {
     // Rounded up: what goes to and fro between entries would otherwise never age.
-    let steps = now_ms.saturating_sub(peer.heard_ms).div_ceil(AGE_STEP_MS);
+    let steps = now_ms.saturating_sub(peer.last_heard_ms).div_ceil(AGE_STEP_MS);
     u8::try_from(steps).unwrap_or(u8::MAX)
 }
