--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -257,11 +257,11 @@
         return;
     }
     let peers = &mut control.exchange.borrow_mut().peers;
-    peers.beyond_ms.insert(state.from, state.unix_ms as i64 - time.unix_ms() as i64);
-    let mut beyond_ms: Vec<i64> = peers.beyond_ms.values().copied().collect();
-    if let Some(by_ms) = clock::correction_ms(&mut beyond_ms) {
+    peers.clock_offsets_ms.insert(state.from, state.unix_ms as i64 - time.unix_ms() as i64);
+    let mut offsets_ms: Vec<i64> = peers.clock_offsets_ms.values().copied().collect();
+    if let Some(by_ms) = clock::correction_ms(&mut offsets_ms) {
         time.shift_ms(by_ms);
-        peers.beyond_ms.clear();
+        peers.clock_offsets_ms.clear();
         slog::warn!(control.log, "time of day corrected"; "by_ms" => by_ms);
     }
 }
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -105,7 +105,7 @@
     named: BTreeSet<SocketAddr>,
     is_pulling: bool,
     /// By how far older peers' time of day lies beyond this one's.
-    pub(in crate::gateway) beyond_ms: HashMap<SocketAddr, i64>,
+    pub(in crate::gateway) clock_offsets_ms: HashMap<SocketAddr, i64>,
     /// This entry is stopping.
     is_stopping: bool,
     /// Rosters told so far, for the turn in which each peer is told in full.
@@ -131,7 +131,7 @@
             by_tag: HashMap::new(),
             named: BTreeSet::new(),
             is_pulling: false,
-            beyond_ms: HashMap::new(),
+            clock_offsets_ms: HashMap::new(),
             is_stopping: false,
             round: 0,
             lots: Cell::new(0),
