--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -305,9 +305,9 @@
             let is_its_aggregator =
                 state.zone == self.identity.zone && self.role(now_ms) == Role::Aggregator;
             let roster = if is_its_aggregator {
-                self.peers.whole_roster(now_ms)
+                self.peers.full_roster(now_ms)
             } else {
-                self.peers.introduction(now_ms)
+                self.peers.aggregator_roster(now_ms)
             };
             telling::push_roster(&to, roster, &mut out);
         }
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -58,7 +58,7 @@
     }
 
     /// Names this state of the peer in messages.
-    fn tag(&self, addr: SocketAddr) -> u32 {
+    fn digest(&self, addr: SocketAddr) -> u32 {
         let flags = [self.has_store, self.holds_duties, self.is_stopping];
         let text = format!("{addr} {} {} {} {flags:?}", self.boot, self.zone, self.millicores);
         xxh3::xxh3_64(text.as_bytes()) as u32
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 struct Known {
     peer: Peer,
-    tag: u32,
+    digest: u32,
     changed_ms: u64,
 }
 
@@ -94,13 +94,13 @@
 pub struct Peers {
     own: SocketAddr,
     /// Names this entry's own state in messages.
-    own_tag: u32,
+    own_digest: u32,
     zone: CompactString,
     millicores: u16,
     started_ms: u64,
     seeds: Vec<SocketAddr>,
     heard: BTreeMap<SocketAddr, Known>,
-    by_tag: HashMap<u32, SocketAddr>,
+    by_digest: HashMap<u32, SocketAddr>,
     /// Told of by others, not heard themselves.
     named: BTreeSet<SocketAddr>,
     is_pulling: bool,
@@ -122,13 +122,13 @@
         let seeds = settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port));
         Self {
             own,
-            own_tag: 0,
+            own_digest: 0,
             zone: settings.zone.clone(),
             millicores: settings.strength(),
             started_ms: now_ms,
             seeds: seeds.filter(|addr| *addr != own).collect(),
             heard: BTreeMap::new(),
-            by_tag: HashMap::new(),
+            by_digest: HashMap::new(),
             named: BTreeSet::new(),
             is_pulling: false,
             clock_offsets_ms: HashMap::new(),
@@ -140,7 +140,7 @@
 
     /// Notes what the others are told of this entry itself.
     pub fn update_own(&mut self, own: &Peer) {
-        self.own_tag = own.tag(self.own);
+        self.own_digest = own.digest(self.own);
         self.is_stopping = own.is_stopping;
     }
 
@@ -167,14 +167,14 @@
             known.heard(peer.last_heard_ms, now_ms);
             return false;
         }
-        let tag = peer.tag(addr);
+        let digest = peer.digest(addr);
         let boot = peer.boot;
-        let known = Known { peer, tag, changed_ms: now_ms };
+        let known = Known { peer, digest, changed_ms: now_ms };
         let before = self.heard.insert(addr, known);
         if let Some(before) = &before {
-            self.by_tag.remove(&before.tag);
+            self.by_digest.remove(&before.digest);
         }
-        self.by_tag.insert(tag, addr);
+        self.by_digest.insert(digest, addr);
         before.is_none_or(|before| before.peer.boot != boot)
     }
 
@@ -412,7 +412,7 @@
     pub fn remove_expired(&mut self, now_ms: u64) {
         self.heard.retain(|_, known| now_ms < known.peer.last_heard_ms + FORGET_MS);
         let heard = &self.heard;
-        self.by_tag.retain(|_, addr| heard.contains_key(addr));
+        self.by_digest.retain(|_, addr| heard.contains_key(addr));
     }
 
     /// Notes that a pull is under way; false if one is already, from whomever.
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -1,5 +1,5 @@
-//! What entries tell each other of who lives: lines of peers that are new or have changed, tags of others,
-//! and one combined tag for a zone in which all are well.
+//! What entries tell each other of who lives: lines of peers that are new or have changed, digests of others,
+//! and one combined digest for a zone in which all are well.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,21 +32,21 @@
 
 /// A zone all of whose live peers were heard just now: who knows the same ones need no line of each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct ZoneDigest {
     zone: CompactString,
-    /// The tags of all, combined.
-    tags: u32,
+    /// The digests of all, combined.
+    digest: u32,
     /// How long ago the one was heard that was heard first.
     age: u8,
 }
 
-/// Who lives: whole lines of some peers, and of others, whose line has been told before, the tag and
+/// Who lives: whole lines of some peers, and of others, whose line has been told before, the digest and
 /// how long ago they were heard; of a zone in which all are well, all in one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     pub rows: Vec<Row>,
-    pub tags: Vec<(u32, u8)>,
-    pub whole: Vec<Whole>,
+    pub digests: Vec<(u32, u8)>,
+    pub zone_digests: Vec<ZoneDigest>,
 }
 
 impl Roster {
@@ -56,15 +56,15 @@
         /// About 30 bytes each.
         const MAX_ROWS: usize = 36;
         /// Six bytes each.
-        const MAX_TAGS: usize = 200;
+        const MAX_DIGESTS: usize = 200;
         let rows = self.rows.chunks(MAX_ROWS);
         let rows = rows.map(|rows| Self { rows: rows.to_vec(), ..Self::default() });
-        let tags = self.tags.chunks(MAX_TAGS);
-        let tags = tags.map(|tags| Self { tags: tags.to_vec(), ..Self::default() });
-        let mut pieces: Vec<Self> = rows.chain(tags).collect();
-        if !self.whole.is_empty() {
+        let digests = self.digests.chunks(MAX_DIGESTS);
+        let digests = digests.map(|digests| Self { digests: digests.to_vec(), ..Self::default() });
+        let mut pieces: Vec<Self> = rows.chain(digests).collect();
+        if !self.zone_digests.is_empty() {
             // Last, so that the lines of new peers are known by then.
-            pieces.push(Self { whole: self.whole, ..Self::default() });
+            pieces.push(Self { zone_digests: self.zone_digests, ..Self::default() });
         }
         pieces
     }
@@ -75,8 +75,8 @@
     pub fn merge_roster(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
         // The way here counts as well: without it, what goes round would stay young.
         let last_heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
-        for (tag, age) in &roster.tags {
-            let addr = self.by_tag.get(tag);
+        for (digest, age) in &roster.digests {
+            let addr = self.by_digest.get(digest);
             if let Some(known) = addr.and_then(|addr| self.heard.get_mut(addr)) {
                 known.heard(last_heard_ms(*age), now_ms);
             }
@@ -96,20 +96,21 @@
                 new.push(row.addr);
             }
         }
-        for whole in &roster.whole {
-            self.take_whole(whole, last_heard_ms(whole.age), now_ms);
+        for zone_digest in &roster.zone_digests {
+            self.merge_zone_digest(zone_digest, last_heard_ms(zone_digest.age), now_ms);
         }
         new
     }
 
-    fn take_whole(&mut self, whole: &Whole, last_heard_ms: u64, now_ms: u64) {
-        let own_tag = if whole.zone == self.zone { self.own_tag } else { 0 };
-        let live = self.live_of(Scope::Zone(&whole.zone), now_ms);
-        if live.fold(own_tag, |tags, (_, known)| tags ^ known.tag) != whole.tags {
+    fn merge_zone_digest(&mut self, zone_digest: &ZoneDigest, last_heard_ms: u64, now_ms: u64) {
+        let own_digest = if zone_digest.zone == self.zone { self.own_digest } else { 0 };
+        let live = self.live_of(Scope::Zone(&zone_digest.zone), now_ms);
+        if live.fold(own_digest, |digests, (_, known)| digests ^ known.digest) != zone_digest.digest
+        {
             return;
         }
         let peers = self.heard.values_mut().map(|known| &mut known.peer);
-        for peer in peers.filter(|peer| peer.zone == whole.zone && peer.is_live(now_ms)) {
+        for peer in peers.filter(|peer| peer.zone == zone_digest.zone && peer.is_live(now_ms)) {
             peer.last_heard_ms = peer.last_heard_ms.max(last_heard_ms);
         }
     }
@@ -118,39 +119,39 @@
     pub fn roster(&self, scope: Scope<'_>, now_ms: u64) -> Roster {
         /// So many rosters tell of each peer in full once.
         const FULL_ROUNDS: usize = 24;
-        /// So many rosters tell once of each peer that is well by its tag.
-        const TAG_ROUNDS: usize = 4;
+        /// So many rosters tell once of each peer that is well by its digest.
+        const DIGEST_ROUNDS: usize = 4;
         let round = self.round;
-        let mut zones: BTreeMap<&CompactString, Whole> = BTreeMap::new();
-        let own = Whole { zone: self.zone.clone(), tags: self.own_tag, age: 0 };
+        let mut zones: BTreeMap<&CompactString, ZoneDigest> = BTreeMap::new();
+        let own = ZoneDigest { zone: self.zone.clone(), digest: self.own_digest, age: 0 };
         zones.insert(&self.zone, own);
         for (_, known) in self.live_of(scope, now_ms) {
             let zone = &known.peer.zone;
-            let none = || Whole { zone: zone.clone(), tags: 0, age: 0 };
-            let whole = zones.entry(zone).or_insert_with(none);
-            whole.tags ^= known.tag;
-            whole.age = whole.age.max(age(&known.peer, now_ms));
+            let none = || ZoneDigest { zone: zone.clone(), digest: 0, age: 0 };
+            let zone_digest = zones.entry(zone).or_insert_with(none);
+            zone_digest.digest ^= known.digest;
+            zone_digest.age = zone_digest.age.max(age(&known.peer, now_ms));
         }
-        zones.retain(|zone, whole| {
+        zones.retain(|zone, zone_digest| {
             let fresh_ms = if **zone == self.zone { FRESH_MS } else { FRESH_ELSEWHERE_MS };
-            u64::from(whole.age) * AGE_STEP_MS < fresh_ms
+            u64::from(zone_digest.age) * AGE_STEP_MS < fresh_ms
         });
         let mut roster = Roster::default();
         for (addr, known) in self.live_of(scope, now_ms) {
-            let is_its_turn = known.tag as usize % FULL_ROUNDS == round % FULL_ROUNDS;
+            let is_its_turn = known.digest as usize % FULL_ROUNDS == round % FULL_ROUNDS;
             if is_its_turn || now_ms < known.changed_ms + CHANGED_MS {
                 roster.rows.push(row(*addr, &known.peer, now_ms));
-            } else if round.is_multiple_of(TAG_ROUNDS) || !zones.contains_key(&known.peer.zone) {
-                roster.tags.push((known.tag, age(&known.peer, now_ms)));
+            } else if round.is_multiple_of(DIGEST_ROUNDS) || !zones.contains_key(&known.peer.zone) {
+                roster.digests.push((known.digest, age(&known.peer, now_ms)));
             }
         }
-        roster.whole = zones.into_values().collect();
+        roster.zone_digests = zones.into_values().collect();
         roster
     }
 
     /// All live peers in full, for an entry that has just started.
     #[must_use]
-    pub fn whole_roster(&self, now_ms: u64) -> Roster {
+    pub fn full_roster(&self, now_ms: u64) -> Roster {
         let rows = self.live_of(Scope::All, now_ms);
         let rows = rows.map(|(addr, known)| row(*addr, &known.peer, now_ms)).collect();
         Roster { rows, ..Roster::default() }
@@ -158,7 +159,7 @@
 
     /// The aggregators of all zones, for an entry that has just started elsewhere.
     #[must_use]
-    pub fn introduction(&self, now_ms: u64) -> Roster {
+    pub fn aggregator_roster(&self, now_ms: u64) -> Roster {
         let mut zones = self.other_zones(now_ms);
         zones.insert(self.zone.clone());
         let addrs = zones.iter().flat_map(|zone| self.aggregators(zone, now_ms));
