--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -133,7 +133,7 @@
     /// The store answered the last read of the lease.
     pub(super) reads_lease: Cell<bool>,
     /// What this entry has of what those before it knew.
-    pub(super) remembered: RefCell<pulls::Remembered>,
+    pub(super) remembered: RefCell<pulls::SoftStatePull>,
     lists_known: Cell<bool>,
     /// Topics that this start of the entry has not listed at the store yet.
     pub(super) topics_to_list: Cell<usize>,
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -237,8 +237,8 @@
         directory_revision: state.directory_revision,
     };
     let is_older = state.age_ms > shared.time.age_ms();
-    if is_older && control.remembered.borrow_mut().ask() {
-        task::spawn_local(pulls::pull_memory(Rc::clone(control), state.from));
+    if is_older && control.remembered.borrow_mut().try_begin() {
+        task::spawn_local(pulls::pull_soft_state(Rc::clone(control), state.from));
     }
     // One that has just started lists all at the store itself, and would only get the same twice.
     let is_listing = control.topics_to_list.get() > 0 && control.has_store();
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -126,35 +126,35 @@
 
 /// What an entry has of what those before it remember.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Remembered {
+pub enum SoftStatePull {
     #[default]
-    Nothing,
-    Asked,
-    All,
+    Needed,
+    InFlight,
+    Done,
 }
 
-impl Remembered {
+impl SoftStatePull {
     /// Whether to ask a peer now; it counts as asked from then on.
     ///
     /// One is asked at a time. All at once would fill the link of a small instance for seconds, none
     /// would answer in time, and a change of the configuration would wait behind them: callers would
     /// get 404 for a route that is there.
-    pub fn ask(&mut self) -> bool {
-        let is_due = *self == Self::Nothing;
+    pub fn try_begin(&mut self) -> bool {
+        let is_due = *self == Self::Needed;
         if is_due {
-            *self = Self::Asked;
+            *self = Self::InFlight;
         }
         is_due
     }
 
     /// The peer that was asked has answered, or not.
-    pub fn answered(&mut self, is_told: bool) {
-        *self = if is_told { Self::All } else { Self::Nothing };
+    pub fn finish(&mut self, is_received: bool) {
+        *self = if is_received { Self::Done } else { Self::Needed };
     }
 }
 
 /// Pulls what a peer that has run for longer remembers.
-pub(in crate::gateway) async fn pull_memory<P: Platform>(
+pub(in crate::gateway) async fn pull_soft_state<P: Platform>(
     control: Rc<Control<P>>,
     from: SocketAddr,
 ) {
@@ -169,7 +169,7 @@
             false
         }
     };
-    control.remembered.borrow_mut().answered(is_told);
+    control.remembered.borrow_mut().finish(is_told);
 }
 
 /// Takes over the counts that peers keep of all entries, as far as they answer in time.
