--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -231,7 +231,7 @@
     }
     send_all(control, answers);
     correct_time(control, state);
-    let offered = pulls::Offered {
+    let advertised = pulls::AdvertisedVersions {
         from: state.from,
         config_version: state.config_version,
         directory_revision: state.directory_revision,
@@ -242,9 +242,11 @@
     }
     // One that has just started lists all at the store itself, and would only get the same twice.
     let is_listing = control.topics_to_list.get() > 0 && control.has_store();
-    if !is_listing && offered.is_newer(control) && control.exchange.borrow_mut().peers.begin_pull()
+    if !is_listing
+        && advertised.is_newer(control)
+        && control.exchange.borrow_mut().peers.begin_pull()
     {
-        task::spawn_local(pulls::pull(Rc::clone(control), offered));
+        task::spawn_local(pulls::pull(Rc::clone(control), advertised));
     }
 }
 
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -72,7 +72,7 @@
 
 /// What another entry says it has.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::gateway) struct Offered {
+pub(in crate::gateway) struct AdvertisedVersions {
     pub(in crate::gateway) from: SocketAddr,
     pub(in crate::gateway) config_version: u64,
     pub(in crate::gateway) directory_revision: u64,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Offered {
+impl AdvertisedVersions {
     /// Whether any of it is newer than what is known here.
     pub(in crate::gateway) fn is_newer<P>(&self, control: &Control<P>) -> bool {
         self.config_version > control.config_version()
@@ -93,15 +93,18 @@
 }
 
 /// Pulls from a peer, if it is still ahead in a moment.
-pub(in crate::gateway) async fn pull<P: Platform>(control: Rc<Control<P>>, offered: Offered) {
+pub(in crate::gateway) async fn pull<P: Platform>(
+    control: Rc<Control<P>>,
+    advertised: AdvertisedVersions,
+) {
     time::sleep(Duration::from_millis(PULL_AFTER_MS)).await;
-    if offered.is_newer(&control) {
+    if advertised.is_newer(&control) {
         let wanted = Wanted {
             config_version: control.config_version(),
             directory_revision: control.directory.borrow().revision(),
             recall: Recall::Nothing,
         };
-        match read_state(&control, offered.from, wanted).await {
+        match read_state(&control, advertised.from, wanted).await {
             Ok(state) => {
                 if let Some(parts) = state.config {
                     control.take_table(parts, "peer");
@@ -113,7 +116,7 @@
                     });
                 }
             }
-            Err(error) => note_failed(&control, offered.from, &error),
+            Err(error) => note_failed(&control, advertised.from, &error),
         }
     }
     control.exchange.borrow_mut().peers.end_pull();
