--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -17,7 +17,7 @@
 use tokio::{task, time};
 
 use super::duties::{billing, delivery, duty, scaling, tally};
-use super::fleet::{datagrams, exchange, members, peers, pulls, recall};
+use super::fleet::{datagrams, exchange, members, peers, prefix_recovery, pulls};
 use super::policy::budget;
 use super::{directory, evacuation, request, route, shared, watch};
 use crate::{bound, clock, lease, seal, store};
@@ -211,7 +211,7 @@
         task::spawn_local(watch::follow(Rc::clone(&control), *topic));
     }
     task::spawn_local(watch::probe(Rc::clone(&control)));
-    task::spawn_local(recall::ask_engines(Rc::clone(&control)));
+    task::spawn_local(prefix_recovery::query_engines(Rc::clone(&control)));
     task::spawn_local(pulls::serve(Rc::clone(&control), listener));
     task::spawn_local(datagrams::receive(Rc::clone(&control)));
     task::spawn_local(members::enrol(Rc::clone(&control)));
--- a/src/gateway/fleet/mod.rs
+++ b/src/gateway/fleet/mod.rs
@@ -5,5 +5,5 @@
 pub(super) mod members;
 pub mod message;
 pub mod peers;
+pub(super) mod prefix_recovery;
 pub mod pulls;
-pub(super) mod recall;
--- a/src/gateway/fleet/recall.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -20,7 +20,7 @@
 const LEAST_TOLD_TOKENS: u32 = 1_000;
 
 /// Asks the engines of this entry's availability zone, once, and tells the other entries.
-pub(in crate::gateway) async fn ask_engines<P: Platform>(control: Rc<Control<P>>) {
+pub(in crate::gateway) async fn query_engines<P: Platform>(control: Rc<Control<P>>) {
     while !control.shared.is_ready.load(Ordering::Acquire) {
         time::sleep(LOOK).await;
     }
