--- a/src/gateway/fleet/members.rs
+++ b/src/gateway/fleet/members.rs
@@ -19,15 +19,15 @@
 
 /// Notes this entry in the store if it reads the store for its zone, and reads who else is there while no
 /// other is heard of. So a start of all entries costs a few calls for each zone.
-pub(in crate::gateway) async fn enrol<P: Platform>(control: Rc<Control<P>>) {
+pub(in crate::gateway) async fn register_and_discover<P: Platform>(control: Rc<Control<P>>) {
     let own = control.shared.settings.peer_addr();
     let key = format!("{MEMBERS_PREFIX}{}", control.shared.settings.id);
-    let mut is_enrolled = false;
+    let mut is_registered = false;
     let mut next_list_ms = 0;
     loop {
         time::sleep(LOOK).await;
-        if !is_enrolled && control.reads_store() && control.has_store() {
-            is_enrolled = enrol_once(&control, &key, own).await;
+        if !is_registered && control.reads_store() && control.has_store() {
+            is_registered = try_register(&control, &key, own).await;
         }
         let now_ms = control.now_ms();
         if now_ms < next_list_ms || control.exchange.borrow().peers.live_count(now_ms) > 0 {
@@ -45,7 +45,7 @@
     }
 }
 
-async fn enrol_once<P: ObjectStore>(control: &Control<P>, key: &str, own: SocketAddr) -> bool {
+async fn try_register<P: ObjectStore>(control: &Control<P>, key: &str, own: SocketAddr) -> bool {
     let value = serde_json::Value::from(own.to_string()).to_string();
     match control.platform.get(key).await {
         Ok(Some(object)) if object.value == value => true,
