--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -213,10 +213,10 @@
     task::spawn_local(watch::probe(Rc::clone(&control)));
     task::spawn_local(prefix_recovery::query_engines(Rc::clone(&control)));
     task::spawn_local(pulls::serve(Rc::clone(&control), listener));
-    task::spawn_local(datagrams::receive(Rc::clone(&control)));
+    task::spawn_local(datagrams::run_receiver(Rc::clone(&control)));
     task::spawn_local(members::register_and_discover(Rc::clone(&control)));
     task::spawn_local(duty::contend(Rc::clone(&control)));
-    datagrams::tell(control).await;
+    datagrams::run_sender(control).await;
     Ok(())
 }
 
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -28,7 +28,7 @@
 const LEASE_TOLD_MS: u64 = 5_000;
 
 /// Tells for as long as the process lives.
-pub(in crate::gateway) async fn tell<P: Platform>(control: Rc<Control<P>>) {
+pub(in crate::gateway) async fn run_sender<P: Platform>(control: Rc<Control<P>>) {
     let mut next_ms: u64 = 0;
     let mut next_counts_ms: u64 = 0;
     loop {
@@ -161,7 +161,7 @@
 }
 
 /// Receives for as long as the process lives.
-pub(in crate::gateway) async fn receive<P: Platform + 'static>(control: Rc<Control<P>>) {
+pub(in crate::gateway) async fn run_receiver<P: Platform + 'static>(control: Rc<Control<P>>) {
     let mut buffer = vec![0; seal::MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((count, _)) = control.socket.recv_from(&mut buffer).await else {
