--- a/src/gateway/fleet/members.rs
+++ b/src/gateway/fleet/members.rs
@@ -1,4 +1,4 @@
-//! The list of entries in the store, for entries whose seeds are out of date.
+//! Registration of entries in the store, by which an entry whose seeds are out of date finds the others.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,22 +10,22 @@
 use crate::gateway::control::{Control, Platform};
 use crate::store::{Condition, ObjectStore};
 
-/// Entries note themselves in the store under this prefix, for those whose seeds are out of date.
+/// Key prefix in the store under which entries register their peer address.
 const MEMBERS_PREFIX: &str = "briarwinch-members/";
-/// How often an entry that hears of no other reads that list.
+/// Interval at which an entry without a live peer lists the registered entries.
 const LIST_MS: u64 = 5_000;
-/// How often it is looked whether there is something to do. Seeds that live are heard of sooner.
-const LOOK: Duration = Duration::from_millis(1_000);
+/// Interval between checks. Longer than it takes to receive state from live seeds.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Notes this entry in the store if it reads the store for its zone, and reads who else is there while no
-/// other is heard of. So a start of all entries costs a few calls for each zone.
+/// Registers this entry in the store if it reads the store for its zone, and lists the registered entries
+/// while it has no live peer. A start of all entries thus costs only a few store calls per zone.
 pub(in crate::gateway) async fn register_and_discover<P: Platform>(control: Rc<Control<P>>) {
     let own = control.shared.settings.peer_addr();
     let key = format!("{MEMBERS_PREFIX}{}", control.shared.settings.id);
     let mut is_registered = false;
     let mut next_list_ms = 0;
     loop {
-        time::sleep(LOOK).await;
+        time::sleep(CHECK_INTERVAL).await;
         if !is_registered && control.reads_store() && control.has_store() {
             is_registered = try_register(&control, &key, own).await;
         }
@@ -35,8 +35,8 @@
         }
         next_list_ms = now_ms + LIST_MS;
         if let Ok(listing) = control.platform.list(MEMBERS_PREFIX).await {
-            let addrs = listing.objects.iter().filter_map(|one| {
-                let text: CompactString = serde_json::from_str(&one.value).ok()?;
+            let addrs = listing.objects.iter().filter_map(|object| {
+                let text: CompactString = serde_json::from_str(&object.value).ok()?;
                 text.parse().ok()
             });
             let peers = &mut control.exchange.borrow_mut().peers;
