--- a/src/gateway/fleet/mod.rs
+++ b/src/gateway/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! What entries tell each other, and how one that is behind or has just started catches up.
+//! Communication between entries: state and load exchange over UDP, and pulls over TCP by which an entry
+//! that is behind or has just started catches up.
 
 pub(super) mod datagrams;
 pub mod exchange;
