--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -1,4 +1,4 @@
-//! What entries send each other by UDP.
+//! Messages that entries send each other over UDP.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::gateway::{departures, evacuation};
 use crate::lease;
 
-/// What an entry tells of itself, beside its work.
+/// State of an entry, sent periodically as its heartbeat. Its load travels separately as [`Work`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
     pub from: SocketAddr,
@@ -21,26 +21,27 @@
     pub config_version: u64,
     pub directory_revision: u64,
     pub zone: CompactString,
-    /// What its instance can carry, in thousandths of a core.
+    /// CPU capacity of its instance, in thousandths of a core.
     pub millicores: u16,
-    /// The store answered this entry's last calls, as far as it makes any.
+    /// Whether the store answered this entry's last calls; true for an entry that makes none.
     pub has_store: bool,
     pub holds_duties: bool,
     pub is_stopping: bool,
-    /// It has heard of no aggregator, and asks whoever hears this who else there is.
+    /// Whether the entry has no aggregator. It asks each receiver for a roster of the other entries.
     pub is_joining: bool,
-    /// It sums the work of its zone, and wants to hear of all there.
+    /// Whether the entry aggregates the load of its zone. The others of the zone send their state and load
+    /// to it.
     pub is_aggregating: bool,
-    /// Live entries that it knows.
+    /// Number of live peers that the entry knows.
     pub live: u16,
-    /// The newest that is known of the lease of the duties, where its holder tells of it.
+    /// Newest information on the lease of the duties that was received from its holder.
     pub lease: Option<lease::Told>,
     pub gate: gate::Ages,
     pub evacuations: evacuation::Told,
 }
 
 impl State {
-    /// The same as a peer that was heard now.
+    /// Converts the state to a peer record that was last heard now.
     #[must_use]
     pub fn peer(&self, now_ms: u64) -> peers::Peer {
         peers::Peer {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Part of a table of work.
+/// Part of a load table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     pub from: SocketAddr,
@@ -64,18 +65,18 @@
     pub rows: load::Rows,
 }
 
-/// How far prompt parts have come on their way from the entry that placed them to all others.
+/// Hop of prompt part placements on their way from the entry that placed them to all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hop {
-    /// To an aggregator of the entry's zone, which passes them on to its zone and the other zones.
+    /// To an aggregator of the entry's zone, which forwards them to its zone and to the other zones.
     OwnAggregator,
-    /// To an aggregator of another zone, which passes them on to its zone.
+    /// To an aggregator of another zone, which forwards them to its zone.
     RemoteAggregator,
-    /// To their last receiver.
+    /// To a receiver that does not forward them.
     Final,
 }
 
-/// Prompt parts that were sent to endpoints.
+/// Prompt parts and the endpoints to which they were sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placements {
     pub hop: Hop,
@@ -89,16 +90,16 @@
     Work(Work),
     Roster(roster::Roster),
     Placements(Placements),
-    /// Limits that endpoints have named, told with an entry's state.
+    /// Rate limits that endpoints have announced, sent with each state message.
     Limits(Vec<limits::Told>),
-    /// Endpoints that have said that they leave, likewise.
+    /// Endpoints that have announced that they leave, sent with each state message.
     Departures(Vec<departures::Departure>),
-    /// What one start of an entry has counted.
+    /// Billing counts of one boot of an entry.
     Counts {
         from: SocketAddr,
         counts: delivery::Parcel,
     },
-    /// Counts have come to this start of an entry.
+    /// Acknowledges that a boot of an entry has received counts.
     CountsAck {
         from: SocketAddr,
         receiver_boot: u64,
@@ -107,7 +108,7 @@
 }
 
 impl Message {
-    /// Its kind, as a metric's label.
+    /// Returns the kind of the message as a metric label.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -123,5 +124,5 @@
     }
 }
 
-/// Counts in a message stay below a datagram.
+// Counts in one message have to fit a datagram.
 const _: () = assert!(delivery::MAX_COUNTED * tally::MAX_COUNT_BYTES < 1_200);
