--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -1,8 +1,8 @@
-//! What the engines still hold, asked when an entry starts.
+//! Recovery of prefix cache locations from the engines when an entry starts.
 //!
-//! The load pattern: all entries die at once and are back a second later, with all callers at the door.
-//! Nobody knows any more which engine has read which document, so that each is read again, and everybody
-//! waits behind that reading. The engines themselves have outlived it and can list what they hold.
+//! When all entries die at once and restart a second later under full load, no entry knows which engine has
+//! which prompt in its prefix cache. Every prompt is then read again, and all requests wait behind that. The
+//! engines keep running meanwhile and can list the prompt parts that they hold.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -14,18 +14,19 @@
 use crate::gateway::control::{Control, Platform};
 use crate::gateway::directory::Endpoint;
 
-/// How often it is looked whether the endpoints are known.
-const LOOK: Duration = Duration::from_millis(5);
-/// Smaller parts are not told to the other entries: they are read again sooner than told of.
-const LEAST_TOLD_TOKENS: u32 = 1_000;
+/// Interval between checks whether the endpoints are known.
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Smaller parts are not sent to the other entries: an engine reads them again sooner than they are sent.
+const MIN_SENT_TOKENS: u32 = 1_000;
 
-/// Asks the engines of this entry's availability zone, once, and tells the other entries.
+/// Queries the engines of this entry's availability zone once for the prompt parts that they hold, and
+/// queues the large parts for the other entries.
 pub(in crate::gateway) async fn query_engines<P: Platform>(control: Rc<Control<P>>) {
     while !control.shared.is_ready.load(Ordering::Acquire) {
-        time::sleep(LOOK).await;
+        time::sleep(READY_CHECK_INTERVAL).await;
     }
     let engines = engines_of_zone(&control);
-    future::join_all(engines.iter().map(|engine| ask(&control, engine))).await;
+    future::join_all(engines.iter().map(|engine| query(&control, engine))).await;
 }
 
 fn engines_of_zone<P>(control: &Control<P>) -> Vec<Endpoint> {
@@ -36,15 +37,15 @@
     let zone = &control.shared.settings.zone;
     let services = table.services().iter().filter(|service| service.engine.is_some());
     let engines = services.flat_map(|service| snapshot.directory.taking(&service.name));
-    let is_asked = |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.has(zone);
-    engines.filter(is_asked).cloned().collect()
+    let is_queried = |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.has(zone);
+    engines.filter(is_queried).cloned().collect()
 }
 
-async fn ask<P: Platform>(control: &Control<P>, engine: &Endpoint) {
+async fn query<P: Platform>(control: &Control<P>, engine: &Endpoint) {
     let parts = match control.platform.held_parts(engine).await {
         Ok(parts) => parts,
         Err(failure) => {
-            slog::info!(control.log, "engine not asked"; "endpoint" => engine.id.as_str(),
+            slog::info!(control.log, "prompt parts not read from engine"; "endpoint" => engine.id.as_str(),
                 "failure" => failure.to_string());
             return;
         }
@@ -52,7 +53,7 @@
     slog::info!(control.log, "parts recalled"; "endpoint" => engine.id.as_str(),
         "parts" => parts.len());
     let (large, small): (Vec<_>, Vec<_>) =
-        parts.into_iter().partition(|part| part.tokens >= LEAST_TOLD_TOKENS);
+        parts.into_iter().partition(|part| part.tokens >= MIN_SENT_TOKENS);
     let now_ms = control.now_ms();
     let mut homes = control.shared.homes();
     homes.place(engine.key, &large, now_ms);
