--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -34,9 +34,9 @@
     loop {
         let wait_ms = next_ms.saturating_sub(control.now_ms());
         let news = control.shared.news.notified();
-        let is_news =
+        let has_urgent_work =
             wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
-        if is_news {
+        if has_urgent_work {
             // Until they know of a long prompt, the others take its engine for free, and what they send
             // there waits behind it.
             time::sleep(Duration::from_millis(NEWS_GATHER_MS)).await;
@@ -49,13 +49,13 @@
             let mut book = control.shared.book();
             let mut homes = control.shared.homes();
             let mut exchange = control.exchange.borrow_mut();
-            exchange.tick(now_ms, &local, is_news, &mut book, &mut homes)
+            exchange.tick(now_ms, &local, has_urgent_work, &mut book, &mut homes)
         };
         send_all(&control, outgoing);
         if now_ms >= next_counts_ms {
             next_counts_ms = now_ms + send_counts(&control, now_ms);
         }
-        if !is_news {
+        if !has_urgent_work {
             update_entries(&control, now_ms);
             control.change_directory("grace time over", |directory| directory.expire(now_ms));
             control.update_warming();
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -1,13 +1,14 @@
-//! Who tells whom what, and when. Pure: the time and what is known come in, messages go out.
+//! Decides which messages this entry sends to which other entries, and when. Pure: takes the time and the
+//! known state, returns messages.
 //!
-//! The pattern it answers: hundreds of entries, each of which has to know within about a tenth of a
-//! second what all others have under way, over links between availability zones whose bytes cost money.
-//! If each told each other, messages would grow with the square of the fleet. So the strongest entry of a
-//! zone aggregates: the others of its zone tell it alone, aggregators tell each other sums, and each
-//! tells its zone. A second one stands by, is told the same, and acts as soon as the first is silent.
-//! Two that act at a time do no harm: what they tell is whole, and the newest counts.
+//! Each of hundreds of entries has to know the load of all others within about 100 ms, over links between
+//! availability zones whose traffic is paid by the byte. If each entry sent to each other, the number of
+//! messages would grow with the square of the fleet. So the entry with the most CPU in a zone aggregates: the
+//! others of its zone send to it alone, aggregators exchange sums, and each sends the sums to its zone. A
+//! second entry stands by, receives the same messages, and takes over once the first is silent. Two
+//! aggregators at a time do no harm: each sends complete tables, and receivers keep the newest.
 
-mod telling;
+mod sending;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,21 +21,22 @@
 use crate::gateway::{departures, directory, evacuation};
 use crate::lease;
 
-/// After so much silence of the aggregators before it, an entry acts; those further behind wait as much
-/// longer each.
+/// Silence of the first-ranked entry of a zone after which the second aggregates. Each further rank waits this
+/// much longer.
 const TAKEOVER_MS: u64 = 300;
-/// An aggregator that was silent for so long is not waited for: an entry that has none tells everybody.
-const LOST_MS: u64 = 700;
-/// An entry that has not looked for [`LOST_MS`] was frozen, and joins again for so long.
+/// Silence after which an entry no longer relies on an aggregator. An entry without one acts
+/// as a joining entry.
+const AGGREGATOR_TIMEOUT_MS: u64 = 700;
+/// How long an entry joins again after a gap of [`AGGREGATOR_TIMEOUT_MS`] between ticks: it was frozen.
 const REJOIN_MS: u64 = 300;
-/// An entry that has just begun to aggregate goes by what it was told for so long: the other zones do not
-/// tell it yet.
+/// How long a new aggregator keeps using the sums that it received as a member: the other zones do not send
+/// to it yet.
 const HANDOVER_MS: u64 = 200;
 
-/// An entry that has joined knows all others after so long.
+/// Time after joining within which an entry receives the state of all others.
 const SETTLE_MS: u64 = 2_000;
 
-/// What an entry knows of itself.
+/// State of this entry that it sends to the others, as of one tick.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalState {
     pub age_ms: u64,
@@ -48,13 +50,13 @@
     pub gate: gate::Ages,
     pub evacuations: evacuation::Told,
     pub limits: Vec<limits::Told>,
-    /// The newest change of an endpoint's limit.
+    /// Stamp of the newest change of an endpoint's limit.
     pub limits_stamp: u64,
     pub departures: Vec<departures::Departure>,
 }
 
 impl LocalState {
-    /// What the others have to know at once when it changes.
+    /// Returns the part of the state that is sent at once when it changes.
     fn urgent(&self, role: Role) -> Urgent {
         let lease = self.lease.map(|told| (told.version, told.is_over));
         let is_aggregating = role == Role::Aggregator;
@@ -75,18 +77,18 @@
     versions: [u64; 4],
     flags: [bool; 4],
     lease: Option<(u64, bool)>,
-    /// Endpoints that have said lately that they leave.
+    /// Number of endpoints that have recently announced that they leave.
     departures: usize,
 }
 
-/// A message and whom it goes to.
+/// A message and its receivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     pub to: Vec<SocketAddr>,
     pub message: Message,
 }
 
-/// Who this entry is.
+/// Identity of this entry.
 #[derive(Clone, Debug)]
 pub struct Identity {
     pub addr: SocketAddr,
@@ -98,110 +100,115 @@
 /// What an entry does for its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It sums the work of its zone.
+    /// Aggregates the load of its zone.
     Aggregator,
-    /// It tells the aggregators of its zone and goes by what they tell.
+    /// Sends to the aggregators of its zone and uses the sums that they send.
     Member,
-    /// It hears of nobody, or its aggregators are silent.
+    /// Has no live peer, or its aggregators are silent.
     Joining,
 }
 
-/// When things were told last.
+/// When each kind of message was last sent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Last {
+struct LastSent {
     tick_ms: u64,
     state_ms: u64,
     urgent: Urgent,
     work_ms: u64,
     sums_ms: u64,
-    round_ms: u64,
-    zones_round_ms: u64,
+    sums_round_ms: u64,
+    remote_sums_ms: u64,
     roster_ms: u64,
     seeds_ms: u64,
 }
 
-/// An entry's part in the exchange.
+/// State of this entry in the exchange between entries.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     identity: Identity,
     pub peers: Peers,
-    /// When an aggregator before this entry told of others' work.
-    senior_ms: u64,
-    /// Who did so last, and when.
+    /// When an entry ranked before this one was last heard.
+    senior_heard_ms: u64,
+    /// Entry that last sent the load of all others, and when.
     aggregator: Option<(SocketAddr, u64)>,
-    /// Who of this zone said last that it acts, and when.
-    acting: Option<(SocketAddr, u64)>,
-    /// Who last told of another zone, and when.
-    zone_aggregators: HashMap<CompactString, (SocketAddr, u64)>,
-    /// When any other entry told of itself.
+    /// Peer of this zone that last declared that it aggregates, and when.
+    declared_aggregator: Option<(SocketAddr, u64)>,
+    /// Entry that last sent the sums of each other zone, and when.
+    remote_aggregators: HashMap<CompactString, (SocketAddr, u64)>,
+    /// When the state of any other entry was last received.
     last_heard_ms: u64,
-    /// Until when this entry joins as if it had just started.
-    rejoins_until_ms: u64,
-    /// Since when this entry aggregates or has an aggregator, without a break.
+    /// Until when this entry joins again after it was frozen.
+    rejoining_until_ms: u64,
+    /// Since when this entry has continuously aggregated or had an aggregator.
     joined_since_ms: Option<u64>,
     keepers: warmup::Keepers,
-    /// Since when this entry aggregates.
-    acts_since_ms: Option<u64>,
-    last: Last,
+    /// Since when this entry has aggregated.
+    aggregating_since_ms: Option<u64>,
+    last: LastSent,
     last_work: Vec<load::Row>,
     last_sums: Vec<load::Row>,
-    /// Sums have changed since the other zones were told.
-    zones_are_due: bool,
-    /// Parts to pass on to the own zone, and to other zones.
-    to_zone: Vec<homes::Placed>,
-    to_zones: Vec<homes::Placed>,
+    /// Sums have changed since they were last sent to the other zones.
+    is_zone_sum_due: bool,
+    /// Placements to forward to the own zone.
+    zone_queue: Vec<homes::Placed>,
+    /// Placements to forward to other zones.
+    remote_queue: Vec<homes::Placed>,
 }
 
 impl Exchange {
-    /// An entry that starts now.
+    /// Creates the state of an entry that starts now.
     #[must_use]
     pub fn new(identity: Identity, peers: Peers, now_ms: u64) -> Self {
         Self {
             identity,
             peers,
-            senior_ms: now_ms,
+            senior_heard_ms: now_ms,
             aggregator: None,
-            acting: None,
-            zone_aggregators: HashMap::new(),
+            declared_aggregator: None,
+            remote_aggregators: HashMap::new(),
             last_heard_ms: 0,
-            rejoins_until_ms: 0,
+            rejoining_until_ms: 0,
             joined_since_ms: None,
             keepers: warmup::Keepers::default(),
-            acts_since_ms: None,
-            last: Last::default(),
+            aggregating_since_ms: None,
+            last: LastSent::default(),
             last_work: Vec::new(),
             last_sums: Vec::new(),
-            zones_are_due: false,
-            to_zone: Vec::new(),
-            to_zones: Vec::new(),
+            is_zone_sum_due: false,
+            zone_queue: Vec::new(),
+            remote_queue: Vec::new(),
         }
     }
 
-    /// What this entry does now.
+    /// Returns the current role of this entry.
     #[must_use]
     pub fn role(&self, now_ms: u64) -> Role {
-        if now_ms < self.rejoins_until_ms {
+        if now_ms < self.rejoining_until_ms {
             return Role::Joining;
         }
-        if now_ms >= self.last_heard_ms + LOST_MS && self.peers.live_count(now_ms) == 0 {
+        if now_ms >= self.last_heard_ms + AGGREGATOR_TIMEOUT_MS
+            && self.peers.live_count(now_ms) == 0
+        {
             return Role::Joining;
         }
         let before = self.peers.aggregator_rank(now_ms) as u64;
-        if before == 0 || now_ms >= self.senior_ms + TAKEOVER_MS * before {
+        if before == 0 || now_ms >= self.senior_heard_ms + TAKEOVER_MS * before {
             return Role::Aggregator;
         }
-        let is_told = self.aggregator.is_some_and(|(_, at_ms)| now_ms < at_ms + LOST_MS);
-        if is_told { Role::Member } else { Role::Joining }
+        let has_aggregator =
+            self.aggregator.is_some_and(|(_, at_ms)| now_ms < at_ms + AGGREGATOR_TIMEOUT_MS);
+        if has_aggregator { Role::Member } else { Role::Joining }
     }
 
-    /// Whether this entry alone sends to an endpoint of this zone while it is cold, as far as it knows. One
-    /// that has just joined may not know of others that think the same of themselves.
+    /// Returns whether this entry is the only one that sends to an endpoint of this zone while it is cold, as
+    /// far as it knows. An entry that has just joined may not know others that consider themselves the only one.
     #[must_use]
     pub fn is_sole_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
         self.keepers.is_keeper(self.identity.addr, endpoint, zone)
     }
 
-    /// This entry's place among those that may send to an endpoint of this zone, if it knows the others.
+    /// Returns the rank of this entry among those that may send to an endpoint of this zone, or `None` if it
+    /// does not know the others.
     #[must_use]
     pub fn standing(
         &self,
@@ -211,7 +218,7 @@
         self.keepers.standing(self.identity.addr, endpoint, zone)
     }
 
-    fn see_keepers(&mut self, now_ms: u64) {
+    fn update_warmup_candidates(&mut self, now_ms: u64) {
         let is_settled =
             self.joined_since_ms.is_some_and(|since_ms| now_ms >= since_ms + SETTLE_MS);
         let is_known = is_settled || self.peers.is_only_entry();
@@ -221,53 +228,54 @@
         self.keepers.see(candidates, has_quorum, now_ms);
     }
 
-    /// What to send now. `is_news`: work has come that others have to know of at once.
+    /// Returns the messages to send now. `has_urgent_work`: load was added that others have to know of at once.
     pub fn tick(
         &mut self,
         now_ms: u64,
         local: &LocalState,
-        is_news: bool,
+        has_urgent_work: bool,
         book: &mut load::Book,
         homes: &mut homes::Homes,
     ) -> Vec<Outgoing> {
-        if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + LOST_MS {
-            self.rejoins_until_ms = now_ms + REJOIN_MS;
-            self.senior_ms = now_ms;
+        if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + AGGREGATOR_TIMEOUT_MS {
+            self.rejoining_until_ms = now_ms + REJOIN_MS;
+            self.senior_heard_ms = now_ms;
         }
         self.last.tick_ms = now_ms;
         let role = self.role(now_ms);
-        let acts_since_ms = match role {
-            Role::Aggregator => Some(*self.acts_since_ms.get_or_insert(now_ms)),
+        let aggregating_since_ms = match role {
+            Role::Aggregator => Some(*self.aggregating_since_ms.get_or_insert(now_ms)),
             Role::Member | Role::Joining => None,
         };
-        self.acts_since_ms = acts_since_ms;
+        self.aggregating_since_ms = aggregating_since_ms;
         self.joined_since_ms = match role {
             Role::Aggregator | Role::Member => self.joined_since_ms.or(Some(now_ms)),
             Role::Joining => None,
         };
-        self.see_keepers(now_ms);
-        let is_handover = acts_since_ms.is_some_and(|since_ms| now_ms < since_ms + HANDOVER_MS);
+        self.update_warmup_candidates(now_ms);
+        let is_handover =
+            aggregating_since_ms.is_some_and(|since_ms| now_ms < since_ms + HANDOVER_MS);
         book.set_told(role == Role::Member || is_handover);
         book.sweep(now_ms);
         let mut out = Vec::new();
-        self.tell_state(now_ms, local, role, &mut out);
+        self.send_state(now_ms, local, role, &mut out);
         match role {
             Role::Aggregator => {
-                self.tell_sums(now_ms, is_handover, book, &mut out);
-                self.tell_rosters(now_ms, &mut out);
-                self.queue_placed(homes);
+                self.send_sums(now_ms, is_handover, book, &mut out);
+                self.send_rosters(now_ms, &mut out);
+                self.queue_placements(homes);
             }
             Role::Member | Role::Joining => {
-                self.tell_work(now_ms, is_news, book, &mut out);
-                self.tell_placed(role, homes, &mut out);
+                self.send_work(now_ms, has_urgent_work, book, &mut out);
+                self.send_placements(role, homes, &mut out);
             }
         }
-        // Also of an entry that others took for an aggregator.
+        // In every role: another entry may have taken this one for an aggregator.
         self.send_forwarded(now_ms, &mut out);
         out
     }
 
-    /// Takes what another entry tells of itself. Gives whether its start is new, and what to answer.
+    /// Processes the state of another entry. Returns whether its boot is new, and the answers.
     pub fn handle_state(
         &mut self,
         state: &State,
@@ -277,7 +285,7 @@
         self.last_heard_ms = now_ms;
         let is_new = self.peers.update(state.from, state.peer(now_ms), now_ms);
         if self.peers.outranks_own(state.from) && state.zone == self.identity.zone {
-            self.senior_ms = now_ms;
+            self.senior_heard_ms = now_ms;
         }
         if let Some((aggregator, at_ms)) = &mut self.aggregator
             && *aggregator == state.from
@@ -285,18 +293,18 @@
             *at_ms = now_ms;
         }
         if state.is_aggregating && state.zone == self.identity.zone {
-            self.acting = Some((state.from, now_ms));
+            self.declared_aggregator = Some((state.from, now_ms));
         }
         let mut out = Vec::new();
-        // One that acts for another zone and is not its first may not know who else is there.
-        let is_astray = state.zone != self.identity.zone
+        // An aggregator of another zone that is not ranked first there may not know the entries before it.
+        let is_unexpected_sender = state.zone != self.identity.zone
             && self.peers.aggregators(&state.zone, now_ms).first() != Some(&state.from);
-        // One that was frozen or cut off knows few others, and nobody might tell it of the rest.
+        // An entry that was frozen or cut off knows few others, and may receive no roster of the rest.
         let is_behind = usize::from(state.live) * 4 < self.peers.live_count(now_ms) * 3;
-        if state.is_joining || is_astray || is_behind {
+        if state.is_joining || is_unexpected_sender || is_behind {
             let to = vec![state.from];
             if state.is_joining || is_behind {
-                // An answer asks for none: two that join would go on answering each other.
+                // An answer requests none: two joining entries would answer each other without end.
                 let state =
                     State { is_joining: false, ..self.state(local, self.role(now_ms), now_ms) };
                 let message = Message::State(state);
@@ -309,22 +317,22 @@
             } else {
                 self.peers.aggregator_roster(now_ms)
             };
-            telling::push_roster(&to, roster, &mut out);
+            sending::push_roster(&to, roster, &mut out);
         }
         (is_new, out)
     }
 
-    /// Takes part of a table of work.
+    /// Processes part of a load table.
     pub fn handle_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
                 if self.peers.outranks_own(work.from) {
-                    self.senior_ms = now_ms;
+                    self.senior_heard_ms = now_ms;
                 }
                 self.aggregator = Some((work.from, now_ms));
             }
             load::Source::Zone(zone) => {
-                self.zone_aggregators.insert(zone.clone(), (work.from, now_ms));
+                self.remote_aggregators.insert(zone.clone(), (work.from, now_ms));
             }
             load::Source::Entry(_) => {}
         }
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -1,40 +1,42 @@
-//! What an entry sends by its role: its state and work, sums, rosters, prompt parts.
+//! Messages that an entry sends in each role: its state and load, sums, rosters, placements of prompt parts.
 
 use std::net::SocketAddr;
 
-use super::{Exchange, LOST_MS, LocalState, Outgoing, Role};
+use super::{AGGREGATOR_TIMEOUT_MS, Exchange, LocalState, Outgoing, Role};
 use crate::gateway::fleet::message::{Hop, Message, Placements, State, Work};
 use crate::gateway::fleet::peers::{Scope, roster};
 use crate::gateway::policy::{homes, load};
 
-/// How often an entry tells of its work while that changes.
+/// Interval at which an entry sends its load while that changes.
 const WORK_MS: u64 = 100;
-/// How often an aggregator tells its zone sums.
-const ROUND_MS: u64 = 50;
-/// How often an aggregator tells other zones the sum of its own: the bytes between zones are dear.
-const ZONES_ROUND_MS: u64 = 100;
-/// How often work and sums are told that do not change.
+/// Interval at which an aggregator sends sums to its zone.
+const SUMS_MS: u64 = 50;
+/// Interval at which an aggregator sends the sums of its zone to other zones. Longer, as traffic between
+/// zones is expensive.
+const REMOTE_SUMS_MS: u64 = 100;
+/// Interval at which unchanged load and sums are sent again.
 const UNCHANGED_MS: u64 = 400;
-/// How often an entry tells of itself, unless something changes.
+/// Interval at which an entry sends its state, unless that changes.
 const STATE_MS: u64 = 200;
-/// How often an entry that has no aggregator tells of itself.
+/// Interval at which an entry without an aggregator sends its state.
 const JOIN_MS: u64 = 100;
-/// How often who lives is told, unless somebody changes.
+/// Interval at which an aggregator sends rosters, unless a peer changes.
 const ROSTER_MS: u64 = 200;
-/// How often seeds and former peers are tried that are silent.
+/// Interval at which silent seeds and former peers are probed.
 const SEEDS_MS: u64 = 1_000;
-/// Rows of work in a message; about 13 bytes each.
+/// Maximum number of load table rows in a message; about 13 bytes each.
 const MAX_ROWS: usize = 75;
-/// Prompt parts in a message; 16 bytes each.
-const MAX_PLACED: usize = 70;
-/// Messages of parts after one another; a day's start places hundreds at once.
-const MAX_PLACED_MESSAGES: usize = 8;
-/// Limits of endpoints in a message; about 18 bytes each.
+/// Maximum number of prompt parts in a message; 16 bytes each.
+const MAX_PLACEMENTS: usize = 70;
+/// Maximum number of placement messages in one tick; the start of a day places hundreds of parts at once.
+const MAX_PLACEMENT_MESSAGES: usize = 8;
+/// Maximum number of endpoint limits in a message; about 18 bytes each.
 const MAX_LIMITS: usize = 60;
-/// Departures in a message; about 14 bytes each.
+/// Maximum number of departures in a message; about 14 bytes each.
 const MAX_DEPARTURES: usize = 75;
-/// Parts to be passed on that wait, at most; the oldest are dropped, which costs reading again.
-const MAX_WAITING: usize = 4_000;
+/// Maximum number of parts queued for forwarding. Older ones are dropped, so that engines may have to read
+/// them again.
+const MAX_QUEUED_PARTS: usize = 4_000;
 
 pub(super) fn push_roster(to: &[SocketAddr], roster: roster::Roster, out: &mut Vec<Outgoing>) {
     let pieces = roster.split().into_iter();
@@ -42,20 +44,22 @@
 }
 
 impl Exchange {
-    /// Whom a member tells: the first of its zone, and whoever acts for it. While the first are dead and not
-    /// known to be, the one that acts would hear of nobody, and the other zones would take all for gone.
+    /// Returns the receivers of a member's messages: the first-ranked entries of its zone and the one that
+    /// declared itself its aggregator. Without the latter, while the first-ranked are dead but not yet timed
+    /// out, the acting aggregator would receive nothing and the other zones would take all members for dead.
     pub(super) fn aggregators(&self, now_ms: u64) -> Vec<SocketAddr> {
-        let mut first = self.peers.aggregators(&self.identity.zone, now_ms);
-        let acting = self.acting.filter(|(_, at_ms)| now_ms < at_ms + LOST_MS);
-        first.extend(acting.map(|(addr, _)| addr).filter(|addr| !first.contains(addr)));
-        first
+        let mut receivers = self.peers.aggregators(&self.identity.zone, now_ms);
+        let declared =
+            self.declared_aggregator.filter(|(_, at_ms)| now_ms < at_ms + AGGREGATOR_TIMEOUT_MS);
+        receivers.extend(declared.map(|(addr, _)| addr).filter(|addr| !receivers.contains(addr)));
+        receivers
     }
 
-    /// Those that act for the other zones, as far as is known.
+    /// Returns the known aggregators of the other zones.
     pub(super) fn other_zones(&self, now_ms: u64) -> Vec<SocketAddr> {
         let zones = self.peers.other_zones(now_ms).into_iter();
-        let aggregators = zones.flat_map(|zone| match self.zone_aggregators.get(&zone) {
-            Some((addr, at_ms)) if now_ms < at_ms + LOST_MS => vec![*addr],
+        let aggregators = zones.flat_map(|zone| match self.remote_aggregators.get(&zone) {
+            Some((addr, at_ms)) if now_ms < at_ms + AGGREGATOR_TIMEOUT_MS => vec![*addr],
             _ => self.peers.aggregators(&zone, now_ms),
         });
         aggregators.collect()
@@ -65,7 +69,7 @@
         self.peers.members(now_ms).into_iter().map(|(addr, _)| addr).collect()
     }
 
-    pub(super) fn tell_state(
+    pub(super) fn send_state(
         &mut self,
         now_ms: u64,
         local: &LocalState,
@@ -73,8 +77,8 @@
         out: &mut Vec<Outgoing>,
     ) {
         let urgent = local.urgent(role);
-        let pause_ms = if role == Role::Joining { JOIN_MS } else { STATE_MS };
-        if now_ms < self.last.state_ms + pause_ms && urgent == self.last.urgent {
+        let interval_ms = if role == Role::Joining { JOIN_MS } else { STATE_MS };
+        if now_ms < self.last.state_ms + interval_ms && urgent == self.last.urgent {
             return;
         }
         self.last.state_ms = now_ms;
@@ -132,15 +136,15 @@
         }
     }
 
-    pub(super) fn tell_work(
+    pub(super) fn send_work(
         &mut self,
         now_ms: u64,
-        is_news: bool,
+        has_urgent_work: bool,
         book: &mut load::Book,
         out: &mut Vec<Outgoing>,
     ) {
         let is_due = now_ms >= self.last.work_ms + WORK_MS;
-        if !is_due && !is_news {
+        if !is_due && !has_urgent_work {
             return;
         }
         let rows = book.rows();
@@ -175,26 +179,26 @@
         }
     }
 
-    pub(super) fn tell_sums(
+    pub(super) fn send_sums(
         &mut self,
         now_ms: u64,
         is_handover: bool,
         book: &mut load::Book,
         out: &mut Vec<Outgoing>,
     ) {
-        if now_ms < self.last.round_ms + ROUND_MS {
+        if now_ms < self.last.sums_round_ms + SUMS_MS {
             return;
         }
-        self.last.round_ms = now_ms;
+        self.last.sums_round_ms = now_ms;
         book.take_news(0);
-        // Of this entry itself there is no table, so that this is all that is known.
+        // The book has no table for this entry's own boot, so nothing is subtracted from the sums.
         let (_, sums) = book.table_for(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
-        self.zones_are_due |= is_changed;
-        if self.zones_are_due && now_ms >= self.last.zones_round_ms + ZONES_ROUND_MS {
-            self.zones_are_due = false;
-            self.last.zones_round_ms = now_ms;
+        self.is_zone_sum_due |= is_changed;
+        if self.is_zone_sum_due && now_ms >= self.last.remote_sums_ms + REMOTE_SUMS_MS {
+            self.is_zone_sum_due = false;
+            self.last.remote_sums_ms = now_ms;
             let (origin, rows) = book.zone_table(now_ms);
             let source = load::Source::Zone(self.identity.zone.clone());
             let to = self.other_zones(now_ms);
@@ -212,7 +216,7 @@
         }
     }
 
-    pub(super) fn tell_rosters(&mut self, now_ms: u64, out: &mut Vec<Outgoing>) {
+    pub(super) fn send_rosters(&mut self, now_ms: u64, out: &mut Vec<Outgoing>) {
         let has_changed = self.peers.has_changed_since(self.last.roster_ms);
         let is_due = now_ms >= self.last.roster_ms + ROSTER_MS;
         if !is_due && !has_changed {
@@ -230,10 +234,10 @@
         }
     }
 
-    /// Queues the prompt parts that an aggregator has placed itself.
-    pub(super) fn queue_placed(&mut self, homes: &mut homes::Homes) {
-        for _ in 0..MAX_PLACED_MESSAGES {
-            let placed = homes.take_untold(MAX_PLACED);
+    /// Queues the placements that an aggregator has made itself.
+    pub(super) fn queue_placements(&mut self, homes: &mut homes::Homes) {
+        for _ in 0..MAX_PLACEMENT_MESSAGES {
+            let placed = homes.take_untold(MAX_PLACEMENTS);
             if placed.is_empty() {
                 return;
             }
@@ -241,19 +245,19 @@
         }
     }
 
-    pub(super) fn tell_placed(
+    pub(super) fn send_placements(
         &self,
         role: Role,
         homes: &mut homes::Homes,
         out: &mut Vec<Outgoing>,
     ) {
-        let acting = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
-        let (hop, to) = match acting {
+        let aggregator = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
+        let (hop, to) = match aggregator {
             Some(addr) => (Hop::OwnAggregator, vec![addr]),
             None => (Hop::Final, self.peers.random_peers()),
         };
-        for _ in 0..MAX_PLACED_MESSAGES {
-            let parts = homes.take_untold(MAX_PLACED);
+        for _ in 0..MAX_PLACEMENT_MESSAGES {
+            let parts = homes.take_untold(MAX_PLACEMENTS);
             if parts.is_empty() {
                 return;
             }
@@ -262,30 +266,34 @@
         }
     }
 
-    /// Queues prompt parts for those that have to hear of them from here.
+    /// Queues placements for the receivers that this entry forwards them to.
     pub fn forward(&mut self, hop: Hop, parts: &[homes::Placed]) {
         let queue = |queue: &mut Vec<homes::Placed>| {
             queue.extend_from_slice(parts);
-            let excess = queue.len().saturating_sub(MAX_WAITING);
+            let excess = queue.len().saturating_sub(MAX_QUEUED_PARTS);
             queue.drain(..excess);
         };
         match hop {
             Hop::OwnAggregator => {
-                queue(&mut self.to_zone);
-                queue(&mut self.to_zones);
+                queue(&mut self.zone_queue);
+                queue(&mut self.remote_queue);
             }
-            Hop::RemoteAggregator => queue(&mut self.to_zone),
+            Hop::RemoteAggregator => queue(&mut self.zone_queue),
             Hop::Final => {}
         }
     }
 
     pub(super) fn send_forwarded(&mut self, now_ms: u64, out: &mut Vec<Outgoing>) {
         let queues = [
-            (Hop::Final, std::mem::take(&mut self.to_zone), self.members(now_ms)),
-            (Hop::RemoteAggregator, std::mem::take(&mut self.to_zones), self.other_zones(now_ms)),
+            (Hop::Final, std::mem::take(&mut self.zone_queue), self.members(now_ms)),
+            (
+                Hop::RemoteAggregator,
+                std::mem::take(&mut self.remote_queue),
+                self.other_zones(now_ms),
+            ),
         ];
         for (hop, parts, to) in queues {
-            for parts in parts.chunks(MAX_PLACED) {
+            for parts in parts.chunks(MAX_PLACEMENTS) {
                 let message = Message::Placements(Placements { hop, parts: parts.to_vec() });
                 out.push(Outgoing { to: to.clone(), message });
             }
