--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -21,11 +21,11 @@
 use crate::gateway::{departures, directory, evacuation};
 use crate::lease;
 
-/// Silence of the first-ranked entry of a zone after which the second aggregates. Each further rank waits this
-/// much longer.
+/// Silence of the first-ranked entry of a zone after which the second aggregates. Each further rank waits
+/// this much longer.
 const TAKEOVER_MS: u64 = 300;
-/// Silence after which an entry no longer relies on an aggregator. An entry without one acts
-/// as a joining entry.
+/// Silence after which an entry no longer relies on an aggregator. An entry without one takes
+/// the role [`Role::Joining`].
 const AGGREGATOR_TIMEOUT_MS: u64 = 700;
 /// How long an entry joins again after a gap of [`AGGREGATOR_TIMEOUT_MS`] between ticks: it was frozen.
 const REJOIN_MS: u64 = 300;
@@ -201,7 +201,8 @@
     }
 
     /// Returns whether this entry is the only one that sends to an endpoint of this zone while it is cold, as
-    /// far as it knows. An entry that has just joined may not know others that consider themselves the only one.
+    /// far as it knows. An entry that has just joined may not know others that consider themselves the only
+    /// one.
     #[must_use]
     pub fn is_sole_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
         self.keepers.is_keeper(self.identity.addr, endpoint, zone)
@@ -228,7 +229,8 @@
         self.keepers.see(candidates, has_quorum, now_ms);
     }
 
-    /// Returns the messages to send now. `has_urgent_work`: load was added that others have to know of at once.
+    /// Returns the messages to send now. With `has_urgent_work`, load was added that others have to know at
+    /// once.
     pub fn tick(
         &mut self,
         now_ms: u64,
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -1,7 +1,7 @@
-//! The other entries, as far as this one has heard or been told of them. Pure but for its lots.
+//! Records of the other entries, from their own messages and from rosters. Pure but for its random draws.
 //!
-//! Whoever hears an entry itself tells others when it did, so that one view holds everywhere without
-//! each entry telling each other. What is newer wins, by the time at which anybody heard the entry.
+//! An entry that receives a message from a peer passes the time of it on in rosters, so that all entries
+//! reach the same view without each sending to each other. The record with the newest such time wins.
 
 pub mod roster;
 
@@ -19,29 +19,30 @@
 use crate::gateway::policy::warmup;
 use crate::gateway::settings;
 
-/// Entries that one without an aggregator tells each time, at most; of a larger fleet a part by lot.
+/// Maximum number of entries that an entry without an aggregator sends to at a time. In a larger fleet it
+/// sends to a random sample.
 const FAN_OUT: usize = 64;
-/// A peer that nobody heard of for this long counts as gone for duties and shares.
+/// Silence towards all entries after which a peer counts as dead for duties and shares.
 pub(in crate::gateway) const PEER_TIMEOUT_MS: u64 = 1_700;
-/// A peer that nobody heard of for this long is not sent what an aggregator is sent.
-const ABSENT_MS: u64 = 1_200;
-/// A peer that is gone for this long is forgotten and no longer told anything.
-const FORGET_MS: u64 = 30_000;
-/// Peers heard of within the longest retry window share the budget.
-const SHARES_MS: u64 = 10_000;
-/// Time in which an entry that starts hears of all others.
+/// Silence after which a peer is no longer considered as an aggregator.
+const AGGREGATOR_ABSENT_MS: u64 = 1_200;
+/// Silence after which the record of a peer is removed and nothing more is sent to it.
+const EXPIRE_MS: u64 = 30_000;
+/// The retry budget is shared with peers that were heard within this time, the longest retry window.
+const BUDGET_SHARE_MS: u64 = 10_000;
+/// Time after its start within which an entry learns of all others.
 const SETTLE_MS: u64 = 2_000;
-/// Aggregators of an availability zone: the one that acts and the one that stands by.
+/// Aggregators of an availability zone: the active one and its standby.
 pub(in crate::gateway) const AGGREGATORS_PER_ZONE: usize = 2;
 
-/// What is known of another entry.
+/// Record of another entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     pub boot: u64,
-    /// When somebody heard it last, on this entry's clock.
+    /// When any entry last received a message from the peer, on this entry's clock.
     pub last_heard_ms: u64,
     pub zone: CompactString,
-    /// What its instance can carry, in thousandths of a core.
+    /// CPU capacity of its instance, in thousandths of a core.
     pub millicores: u16,
     pub has_store: bool,
     pub holds_duties: bool,
@@ -53,11 +54,11 @@
         now_ms < self.last_heard_ms + PEER_TIMEOUT_MS
     }
 
-    fn same_but_heard(&self, other: &Self) -> bool {
+    fn differs_only_in_time(&self, other: &Self) -> bool {
         Self { last_heard_ms: other.last_heard_ms, ..self.clone() } == *other
     }
 
-    /// Names this state of the peer in messages.
+    /// Returns a hash of the record without its time, which stands for it in rosters.
     fn digest(&self, addr: SocketAddr) -> u32 {
         let flags = [self.has_store, self.holds_duties, self.is_stopping];
         let text = format!("{addr} {} {} {} {flags:?}", self.boot, self.zone, self.millicores);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Which peers are meant.
+/// Selection of peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope<'a> {
     Zone(&'a str),
@@ -75,13 +76,14 @@
 #[derive(Clone, Debug)]
 struct Known {
     peer: Peer,
+    /// See [`Peer::digest`].
     digest: u32,
     changed_ms: u64,
 }
 
 impl Known {
-    /// Somebody heard the peer then. One that had been gone has changed.
-    fn heard(&mut self, last_heard_ms: u64, now_ms: u64) {
+    /// Records when the peer was last heard. A peer that had timed out counts as changed.
+    fn mark_heard(&mut self, last_heard_ms: u64, now_ms: u64) {
         if !self.peer.is_live(now_ms) {
             self.changed_ms = now_ms;
         }
@@ -93,25 +95,25 @@
 #[derive(Clone, Debug)]
 pub struct Peers {
     own: SocketAddr,
-    /// Names this entry's own state in messages.
+    /// Digest of this entry's own record, see [`Peer::digest`].
     own_digest: u32,
     zone: CompactString,
     millicores: u16,
     started_ms: u64,
     seeds: Vec<SocketAddr>,
-    heard: BTreeMap<SocketAddr, Known>,
+    known: BTreeMap<SocketAddr, Known>,
     by_digest: HashMap<u32, SocketAddr>,
-    /// Told of by others, not heard themselves.
-    named: BTreeSet<SocketAddr>,
+    /// Addresses from the list in the store of which no record exists yet.
+    discovered: BTreeSet<SocketAddr>,
     is_pulling: bool,
-    /// By how far older peers' time of day lies beyond this one's.
+    /// Differences between the time of day of older peers and that of this entry.
     pub(in crate::gateway) clock_offsets_ms: HashMap<SocketAddr, i64>,
-    /// This entry is stopping.
+    /// Whether this entry is stopping.
     is_stopping: bool,
-    /// Rosters told so far, for the turn in which each peer is told in full.
+    /// Number of rosters sent so far; it determines which peers the next one contains in full.
     round: usize,
-    /// Lots drawn so far.
-    lots: Cell<u64>,
+    /// Number of random draws so far.
+    draws: Cell<u64>,
 }
 
 impl Peers {
@@ -127,50 +129,50 @@
             millicores: settings.strength(),
             started_ms: now_ms,
             seeds: seeds.filter(|addr| *addr != own).collect(),
-            heard: BTreeMap::new(),
+            known: BTreeMap::new(),
             by_digest: HashMap::new(),
-            named: BTreeSet::new(),
+            discovered: BTreeSet::new(),
             is_pulling: false,
             clock_offsets_ms: HashMap::new(),
             is_stopping: false,
             round: 0,
-            lots: Cell::new(0),
+            draws: Cell::new(0),
         }
     }
 
-    /// Notes what the others are told of this entry itself.
+    /// Updates the record of this entry itself, as the others receive it.
     pub fn update_own(&mut self, own: &Peer) {
         self.own_digest = own.digest(self.own);
         self.is_stopping = own.is_stopping;
     }
 
-    /// Begins the next turn of rosters.
+    /// Begins the next round of rosters.
     pub fn advance_round(&mut self) {
         self.round += 1;
     }
 
-    /// Takes what is known of a peer, if it is newer. Gives whether this start of it is new.
+    /// Updates the record of a peer if the given one is newer. Returns whether its boot is new.
     pub fn update(&mut self, addr: SocketAddr, peer: Peer, now_ms: u64) -> bool {
         if addr == self.own {
             return false;
         }
-        self.named.remove(&addr);
-        let before = self.heard.get_mut(&addr);
+        self.discovered.remove(&addr);
+        let before = self.known.get_mut(&addr);
         if let Some(known) = &before
             && known.peer.last_heard_ms > peer.last_heard_ms
         {
             return false;
         }
         if let Some(known) = before
-            && known.peer.same_but_heard(&peer)
+            && known.peer.differs_only_in_time(&peer)
         {
-            known.heard(peer.last_heard_ms, now_ms);
+            known.mark_heard(peer.last_heard_ms, now_ms);
             return false;
         }
         let digest = peer.digest(addr);
         let boot = peer.boot;
         let known = Known { peer, digest, changed_ms: now_ms };
-        let before = self.heard.insert(addr, known);
+        let before = self.known.insert(addr, known);
         if let Some(before) = &before {
             self.by_digest.remove(&before.digest);
         }
@@ -178,10 +180,10 @@
         before.is_none_or(|before| before.peer.boot != boot)
     }
 
-    /// Whether a peer has changed since this time.
+    /// Returns whether a peer has changed since this time.
     #[must_use]
     pub fn has_changed_since(&self, since_ms: u64) -> bool {
-        self.heard.values().any(|known| known.changed_ms > since_ms)
+        self.known.values().any(|known| known.changed_ms > since_ms)
     }
 
     fn live_of(
@@ -189,7 +191,7 @@
         scope: Scope<'_>,
         now_ms: u64,
     ) -> impl Iterator<Item = (&SocketAddr, &Known)> {
-        let live = self.heard.iter().filter(move |(_, known)| known.peer.is_live(now_ms));
+        let live = self.known.iter().filter(move |(_, known)| known.peer.is_live(now_ms));
         live.filter(move |(_, known)| match scope {
             Scope::Zone(zone) => known.peer.zone == zone,
             Scope::All => true,
@@ -200,25 +202,25 @@
         self.live_of(Scope::All, now_ms).map(|(addr, known)| (addr, &known.peer))
     }
 
-    /// Peers heard of within this time.
+    /// Returns the number of live peers.
     #[must_use]
     pub fn live_count(&self, now_ms: u64) -> usize {
         self.live_peers(now_ms).count()
     }
 
-    /// Starts of peers that somebody has heard since.
+    /// Returns the boots of the peers that any entry has heard since this time.
     pub fn boots_since(&self, since_ms: u64) -> impl Iterator<Item = u64> {
-        let heard = self.heard.values().filter(move |known| known.peer.last_heard_ms >= since_ms);
-        heard.map(|known| known.peer.boot)
+        let recent = self.known.values().filter(move |known| known.peer.last_heard_ms >= since_ms);
+        recent.map(|known| known.peer.boot)
     }
 
-    /// Live peers that are not stopping.
+    /// Returns the number of live peers that are not stopping.
     #[must_use]
     pub fn serving_count(&self, now_ms: u64) -> usize {
         self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping).count()
     }
 
-    /// The live peer that says that it holds the duties.
+    /// Returns the live peer that declares that it holds the duties.
     #[must_use]
     pub fn duty_holder(&self, now_ms: u64) -> Option<SocketAddr> {
         let mut holders =
@@ -226,7 +228,7 @@
         holders.next().map(|(addr, _)| *addr)
     }
 
-    /// Live peers that contend for the duties before this entry does: the strongest first.
+    /// Returns the number of live peers that contend for the duties before this entry. More CPU ranks first.
     #[must_use]
     pub fn duty_rank(&self, now_ms: u64) -> usize {
         let before = self.live_peers(now_ms).filter(|(addr, peer)| {
@@ -235,50 +237,50 @@
         before.count()
     }
 
-    /// The peers that are next in line for the duties.
+    /// Returns the live peers that rank first for the duties.
     #[must_use]
     pub fn duty_successors(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
-        first(self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping), most)
+        most_capable(self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping), most)
     }
 
-    /// The strongest live peers, also those that are stopping.
+    /// Returns the live peers with the most CPU, including those that are stopping.
     #[must_use]
     pub fn strongest(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
-        first(self.live_peers(now_ms), most)
+        most_capable(self.live_peers(now_ms), most)
     }
 
-    /// Live peers of this zone that would read the store before this entry.
-    fn before(&self, now_ms: u64) -> impl Iterator<Item = &Peer> {
+    /// Returns the live peers of this zone that rank before this entry as readers of the store.
+    fn store_readers_before(&self, now_ms: u64) -> impl Iterator<Item = &Peer> {
         let before = self.live_peers(now_ms).filter(|(addr, peer)| {
             **addr < self.own && peer.zone == self.zone && !peer.is_stopping
         });
         before.map(|(_, peer)| peer)
     }
 
-    /// How many of these the store answers, so that they do read it.
+    /// Returns how many peers rank before this entry as readers of the store and receive its answers.
     #[must_use]
     pub fn active_readers_before(&self, now_ms: u64) -> usize {
-        self.before(now_ms).filter(|peer| peer.has_store).count()
+        self.store_readers_before(now_ms).filter(|peer| peer.has_store).count()
     }
 
-    /// How many these are, whether the store answers them or not.
+    /// Returns how many peers rank before this entry as readers of the store, reachable or not.
     #[must_use]
     pub fn store_reader_rank(&self, now_ms: u64) -> usize {
-        self.before(now_ms).count()
+        self.store_readers_before(now_ms).count()
     }
 
-    /// The entries that may be keepers of cold endpoints, this one among them.
+    /// Returns the entries that may send to cold endpoints, including this one.
     ///
-    /// Those that half of the fleet goes on with take over from the dead. An entry that hears fewer of those it
-    /// heard before may itself be cut off with them, so its part never grows: it goes by all that it knew.
+    /// With a quorum these are the live entries, which take over from the dead ones. An entry without a
+    /// quorum may itself be cut off, so its share must not grow: it uses all entries that it knows.
     #[must_use]
     pub fn warmup_candidates(&self, has_quorum: bool, now_ms: u64) -> Vec<warmup::Candidate> {
-        let heard = self.heard.iter().filter(|(_, known)| {
+        let peers = self.known.iter().filter(|(_, known)| {
             !has_quorum || (known.peer.is_live(now_ms) && !known.peer.is_stopping)
         });
-        let heard = heard.map(|(addr, known)| (*addr, &known.peer.zone));
+        let peers = peers.map(|(addr, known)| (*addr, &known.peer.zone));
         let own = (!self.is_stopping).then_some((self.own, &self.zone));
-        let mut candidates: Vec<warmup::Candidate> = heard
+        let mut candidates: Vec<warmup::Candidate> = peers
             .chain(own)
             .map(|(addr, zone)| warmup::Candidate { addr, zone: zone.clone() })
             .collect();
@@ -286,136 +288,137 @@
         candidates
     }
 
-    /// Whether this entry hears at least half of the entries that it knew, itself among them.
+    /// Returns whether at least half of the known entries are live, counting this one.
     #[must_use]
     pub fn has_quorum(&self, now_ms: u64) -> bool {
-        2 * (1 + self.live_count(now_ms)) > self.heard.len()
+        2 * (1 + self.live_count(now_ms)) > self.known.len()
     }
 
-    /// Whether there is no other entry: neither a seed nor any that was heard.
+    /// Returns whether there is no other entry: neither a seed nor a known peer.
     #[must_use]
     pub fn is_only_entry(&self) -> bool {
-        self.seeds.is_empty() && self.heard.is_empty()
+        self.seeds.is_empty() && self.known.is_empty()
     }
 
     fn ranks_before_own(&self, millicores: u16, addr: SocketAddr) -> bool {
         (Reverse(millicores), addr) < (Reverse(self.millicores), self.own)
     }
 
-    /// Peers of this zone that aggregate before this entry does.
+    /// Returns the number of peers of this zone that rank before this entry as aggregators.
     #[must_use]
     pub fn aggregator_rank(&self, now_ms: u64) -> usize {
-        let candidates = self.candidates(&self.zone, now_ms);
+        let candidates = self.aggregator_candidates(&self.zone, now_ms);
         candidates.filter(|(addr, peer)| self.ranks_before_own(peer.millicores, **addr)).count()
     }
 
-    /// Whether that peer aggregates before this entry does.
+    /// Returns whether that peer ranks before this entry as an aggregator.
     #[must_use]
     pub fn outranks_own(&self, addr: SocketAddr) -> bool {
-        self.heard
+        self.known
             .get(&addr)
             .is_some_and(|known| self.ranks_before_own(known.peer.millicores, addr))
     }
 
-    fn candidates<'a>(
+    fn aggregator_candidates<'a>(
         &'a self,
         zone: &'a str,
         now_ms: u64,
     ) -> impl Iterator<Item = (&'a SocketAddr, &'a Peer)> {
         let present = self
             .live_peers(now_ms)
-            .filter(move |(_, peer)| now_ms < peer.last_heard_ms + ABSENT_MS);
+            .filter(move |(_, peer)| now_ms < peer.last_heard_ms + AGGREGATOR_ABSENT_MS);
         present.filter(move |(_, peer)| peer.zone == zone && !peer.is_stopping)
     }
 
-    /// The first peers of a zone to aggregate its work: the strongest.
+    /// Returns the first-ranked aggregators of a zone: the peers with the most CPU.
     #[must_use]
     pub fn aggregators(&self, zone: &str, now_ms: u64) -> Vec<SocketAddr> {
-        first(self.candidates(zone, now_ms), AGGREGATORS_PER_ZONE)
+        most_capable(self.aggregator_candidates(zone, now_ms), AGGREGATORS_PER_ZONE)
     }
 
-    /// Live peers of this zone, with their starts.
+    /// Returns the live peers of this zone with their boots.
     #[must_use]
     pub fn members(&self, now_ms: u64) -> Vec<(SocketAddr, u64)> {
         let live = self.live_of(Scope::Zone(&self.zone), now_ms);
         live.map(|(addr, known)| (*addr, known.peer.boot)).collect()
     }
 
-    /// The other zones in which peers live.
+    /// Returns the other zones that have live peers.
     #[must_use]
     pub fn other_zones(&self, now_ms: u64) -> BTreeSet<CompactString> {
         let zones = self.live_peers(now_ms).map(|(_, peer)| &peer.zone);
         zones.filter(|zone| **zone != self.zone).cloned().collect()
     }
 
-    /// A source of lots, other ones for each entry, start and draw. The same fleet on a virtual clock draws
-    /// the same, so that what went wrong once can be played again.
-    fn draw(&self) -> StdRng {
-        let lots = self.lots.get();
-        self.lots.set(lots + 1);
-        let text = format!("{} {} {lots}", self.own, self.started_ms);
+    /// Returns a random generator that differs for each entry, start and draw. It is deterministic on a
+    /// virtual clock, so that a failed test can be reproduced.
+    fn next_rng(&self) -> StdRng {
+        let draws = self.draws.get();
+        self.draws.set(draws + 1);
+        let text = format!("{} {} {draws}", self.own, self.started_ms);
         StdRng::seed_from_u64(xxh3::xxh3_64(text.as_bytes()))
     }
 
-    /// Entries by lot, for one that has no aggregator to pass on what it has to tell.
+    /// Returns random peers, for an entry that has no aggregator to forward its messages.
     #[must_use]
     pub fn random_peers(&self) -> Vec<SocketAddr> {
-        self.heard.keys().copied().choose_multiple(&mut self.draw(), FAN_OUT)
+        self.known.keys().copied().choose_multiple(&mut self.next_rng(), FAN_OUT)
     }
 
-    /// Whom an entry tells of itself that has no aggregator: its seeds, and by lot those that it was told
-    /// of, its own zone and all others.
+    /// Returns the receivers of the state of an entry without an aggregator: its seeds, and random samples of
+    /// the discovered addresses, of the peers of its zone and of all peers.
     #[must_use]
     pub fn join_targets(&self) -> Vec<SocketAddr> {
-        /// Of those told of and of the own zone.
-        const SOME: usize = 16;
-        /// Of all others.
-        const FEW: usize = 4;
-        let mut random = self.draw();
-        let own_zone = self.heard.iter().filter(|(_, known)| known.peer.zone == self.zone);
-        let own_zone = own_zone.map(|(addr, _)| addr).choose_multiple(&mut random, SOME);
-        let named = self.named.iter().choose_multiple(&mut random, SOME);
-        let others = self.heard.keys().choose_multiple(&mut random, FEW);
-        let all = self.seeds.iter().chain(own_zone).chain(named).chain(others);
+        /// Sample size of the discovered addresses and of the peers of this zone.
+        const NEAR_SAMPLE: usize = 16;
+        /// Sample size of all peers.
+        const FAR_SAMPLE: usize = 4;
+        let mut random = self.next_rng();
+        let own_zone = self.known.iter().filter(|(_, known)| known.peer.zone == self.zone);
+        let own_zone = own_zone.map(|(addr, _)| addr).choose_multiple(&mut random, NEAR_SAMPLE);
+        let discovered = self.discovered.iter().choose_multiple(&mut random, NEAR_SAMPLE);
+        let others = self.known.keys().choose_multiple(&mut random, FAR_SAMPLE);
+        let all = self.seeds.iter().chain(own_zone).chain(discovered).chain(others);
         let all: BTreeSet<SocketAddr> = all.copied().collect();
         all.into_iter().collect()
     }
 
-    /// Seeds, and some former peers by lot, that are not heard of: behind a cut there may be another part of
-    /// the fleet.
+    /// Returns the silent seeds and a random sample of the silent peers. Probing them reunites the parts of
+    /// the fleet after a network partition.
     #[must_use]
     pub fn probe_targets(&self, now_ms: u64) -> Vec<SocketAddr> {
-        const FEW: usize = 4;
+        /// Sample size of the silent peers.
+        const SAMPLE: usize = 4;
         let is_live = |addr: &SocketAddr| {
-            self.heard.get(addr).is_some_and(|known| known.peer.is_live(now_ms))
+            self.known.get(addr).is_some_and(|known| known.peer.is_live(now_ms))
         };
-        let former = self.heard.keys().copied().filter(|addr| !is_live(addr));
-        let mut silent = former.choose_multiple(&mut self.draw(), FEW);
+        let former = self.known.keys().copied().filter(|addr| !is_live(addr));
+        let mut silent = former.choose_multiple(&mut self.next_rng(), SAMPLE);
         silent.extend(self.seeds.iter().copied().filter(|addr| !is_live(addr)));
         silent
     }
 
-    /// Entries that share the retry budget, this one among them.
+    /// Returns the number of entries that share the retry budget, including this one.
     #[must_use]
     pub fn budget_sharers(&self, now_ms: u64) -> usize {
-        let recent = |known: &&Known| now_ms < known.peer.last_heard_ms + SHARES_MS;
-        1 + self.heard.values().filter(recent).count().max(self.seeds.len())
+        let recent = |known: &&Known| now_ms < known.peer.last_heard_ms + BUDGET_SHARE_MS;
+        1 + self.known.values().filter(recent).count().max(self.seeds.len())
     }
 
-    /// Whether there was time to hear of all others.
+    /// Returns whether this entry has had time to learn of all others.
     #[must_use]
     pub fn is_settled(&self, now_ms: u64) -> bool {
         self.seeds.is_empty() || now_ms >= self.started_ms + SETTLE_MS
     }
 
-    /// Forgets peers that have been gone for long.
+    /// Removes the records of peers that have been silent for [`EXPIRE_MS`].
     pub fn remove_expired(&mut self, now_ms: u64) {
-        self.heard.retain(|_, known| now_ms < known.peer.last_heard_ms + FORGET_MS);
-        let heard = &self.heard;
-        self.by_digest.retain(|_, addr| heard.contains_key(addr));
+        self.known.retain(|_, known| now_ms < known.peer.last_heard_ms + EXPIRE_MS);
+        let known = &self.known;
+        self.by_digest.retain(|_, addr| known.contains_key(addr));
     }
 
-    /// Notes that a pull is under way; false if one is already, from whomever.
+    /// Marks a pull as in flight. Returns false if one from any peer already is.
     pub(in crate::gateway) fn begin_pull(&mut self) -> bool {
         !std::mem::replace(&mut self.is_pulling, true)
     }
@@ -424,18 +427,21 @@
         self.is_pulling = false;
     }
 
-    /// Notes where an entry may be.
+    /// Adds an address at which an entry may listen.
     pub fn add_discovered(&mut self, addr: SocketAddr) {
-        /// More than the entries of the largest fleet.
-        const MAX_NAMED: usize = 1_000;
-        if addr != self.own && !self.heard.contains_key(&addr) && self.named.len() < MAX_NAMED {
-            self.named.insert(addr);
+        /// Above the number of entries in the largest fleet.
+        const MAX_DISCOVERED: usize = 1_000;
+        if addr != self.own
+            && !self.known.contains_key(&addr)
+            && self.discovered.len() < MAX_DISCOVERED
+        {
+            self.discovered.insert(addr);
         }
     }
 }
 
-/// The strongest peers, at most this many.
-fn first<'a>(
+/// Returns the peers with the most CPU, at most this many.
+fn most_capable<'a>(
     peers: impl Iterator<Item = (&'a SocketAddr, &'a Peer)>,
     most: usize,
 ) -> Vec<SocketAddr> {
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -1,5 +1,5 @@
-//! What entries tell each other of who lives: lines of peers that are new or have changed, digests of others,
-//! and one combined digest for a zone in which all are well.
+//! Rosters by which entries tell each other which peers are live: full rows of peers that are new or have
+//! changed, digests of others, and one combined digest for a zone whose peers were all heard lately.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,15 +9,16 @@
 
 use super::{Peer, Peers, Scope};
 
-/// A zone whose peers were all heard within this is told of as a whole; another zone's are heard of later.
+/// A zone whose peers were all heard within this time is sent as one [`ZoneDigest`].
 const FRESH_MS: u64 = 500;
-const FRESH_ELSEWHERE_MS: u64 = 900;
-/// A change is told in full for this long, beside the turn in which all peers are.
+/// The same for another zone, whose peers are heard with a longer delay.
+const REMOTE_FRESH_MS: u64 = 900;
+/// How long a changed peer is sent as a full row, in addition to the rounds in which every peer is.
 const CHANGED_MS: u64 = 1_500;
-/// Unit of ages in messages.
+/// Unit of the ages in rosters.
 const AGE_STEP_MS: u64 = 20;
 
-/// A peer's whole line in a roster.
+/// Full record of a peer in a roster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     addr: SocketAddr,
@@ -30,18 +31,19 @@
     age: u8,
 }
 
-/// A zone all of whose live peers were heard just now: who knows the same ones need no line of each.
+/// Digest of a zone whose live peers were all heard lately. A receiver that knows the same peers needs no
+/// record of each.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
     zone: CompactString,
-    /// The digests of all, combined.
+    /// XOR of the digests of all live peers.
     digest: u32,
-    /// How long ago the one was heard that was heard first.
+    /// Age of the peer that was heard longest ago.
     age: u8,
 }
 
-/// Who lives: whole lines of some peers, and of others, whose line has been told before, the digest and
-/// how long ago they were heard; of a zone in which all are well, all in one.
+/// Live peers: some as full rows, others, whose row was sent before, as digest and age. A zone whose peers
+/// were all heard lately is sent as one digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster {
     pub rows: Vec<Row>,
@@ -50,12 +52,12 @@
 }
 
 impl Roster {
-    /// The same in pieces that fit a datagram.
+    /// Splits the roster into pieces that fit a datagram.
     #[must_use]
     pub fn split(self) -> Vec<Self> {
-        /// About 30 bytes each.
+        /// Maximum number of rows in a piece; about 30 bytes each.
         const MAX_ROWS: usize = 36;
-        /// Six bytes each.
+        /// Maximum number of digests in a piece; 6 bytes each.
         const MAX_DIGESTS: usize = 200;
         let rows = self.rows.chunks(MAX_ROWS);
         let rows = rows.map(|rows| Self { rows: rows.to_vec(), ..Self::default() });
@@ -63,7 +65,7 @@
         let digests = digests.map(|digests| Self { digests: digests.to_vec(), ..Self::default() });
         let mut pieces: Vec<Self> = rows.chain(digests).collect();
         if !self.zone_digests.is_empty() {
-            // Last, so that the lines of new peers are known by then.
+            // Last, so that the receiver has the rows of new peers by then.
             pieces.push(Self { zone_digests: self.zone_digests, ..Self::default() });
         }
         pieces
@@ -71,14 +73,14 @@
 }
 
 impl Peers {
-    /// Takes what another entry has told. Gives the peers whose start is new.
+    /// Merges a roster from another entry. Returns the peers whose boot is new.
     pub fn merge_roster(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
-        // The way here counts as well: without it, what goes round would stay young.
+        // One step is added for the transfer. Without it, a record forwarded in a circle would never age.
         let last_heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
         for (digest, age) in &roster.digests {
             let addr = self.by_digest.get(digest);
-            if let Some(known) = addr.and_then(|addr| self.heard.get_mut(addr)) {
-                known.heard(last_heard_ms(*age), now_ms);
+            if let Some(known) = addr.and_then(|addr| self.known.get_mut(addr)) {
+                known.mark_heard(last_heard_ms(*age), now_ms);
             }
         }
         let mut new = Vec::new();
@@ -109,17 +111,18 @@
         {
             return;
         }
-        let peers = self.heard.values_mut().map(|known| &mut known.peer);
+        let peers = self.known.values_mut().map(|known| &mut known.peer);
         for peer in peers.filter(|peer| peer.zone == zone_digest.zone && peer.is_live(now_ms)) {
             peer.last_heard_ms = peer.last_heard_ms.max(last_heard_ms);
         }
     }
 
-    /// What to tell of the live peers: those that have changed, and in turn all others, in full.
+    /// Returns the roster for the current round: rows of the peers that have changed and of a share of the
+    /// others, and digests of the rest.
     pub fn roster(&self, scope: Scope<'_>, now_ms: u64) -> Roster {
-        /// So many rosters tell of each peer in full once.
+        /// Number of rounds in which each peer is sent as a row once.
         const FULL_ROUNDS: usize = 24;
-        /// So many rosters tell once of each peer that is well by its digest.
+        /// Number of rounds in which the digest of each peer of a fresh zone is sent once.
         const DIGEST_ROUNDS: usize = 4;
         let round = self.round;
         let mut zones: BTreeMap<&CompactString, ZoneDigest> = BTreeMap::new();
@@ -127,19 +130,19 @@
         zones.insert(&self.zone, own);
         for (_, known) in self.live_of(scope, now_ms) {
             let zone = &known.peer.zone;
-            let none = || ZoneDigest { zone: zone.clone(), digest: 0, age: 0 };
-            let zone_digest = zones.entry(zone).or_insert_with(none);
+            let empty = || ZoneDigest { zone: zone.clone(), digest: 0, age: 0 };
+            let zone_digest = zones.entry(zone).or_insert_with(empty);
             zone_digest.digest ^= known.digest;
             zone_digest.age = zone_digest.age.max(age(&known.peer, now_ms));
         }
         zones.retain(|zone, zone_digest| {
-            let fresh_ms = if **zone == self.zone { FRESH_MS } else { FRESH_ELSEWHERE_MS };
+            let fresh_ms = if **zone == self.zone { FRESH_MS } else { REMOTE_FRESH_MS };
             u64::from(zone_digest.age) * AGE_STEP_MS < fresh_ms
         });
         let mut roster = Roster::default();
         for (addr, known) in self.live_of(scope, now_ms) {
-            let is_its_turn = known.digest as usize % FULL_ROUNDS == round % FULL_ROUNDS;
-            if is_its_turn || now_ms < known.changed_ms + CHANGED_MS {
+            let is_full_round = known.digest as usize % FULL_ROUNDS == round % FULL_ROUNDS;
+            if is_full_round || now_ms < known.changed_ms + CHANGED_MS {
                 roster.rows.push(row(*addr, &known.peer, now_ms));
             } else if round.is_multiple_of(DIGEST_ROUNDS) || !zones.contains_key(&known.peer.zone) {
                 roster.digests.push((known.digest, age(&known.peer, now_ms)));
@@ -149,7 +152,7 @@
         roster
     }
 
-    /// All live peers in full, for an entry that has just started.
+    /// Returns all live peers as rows, for an entry of this zone that joins or knows too few peers.
     #[must_use]
     pub fn full_roster(&self, now_ms: u64) -> Roster {
         let rows = self.live_of(Scope::All, now_ms);
@@ -157,14 +160,14 @@
         Roster { rows, ..Roster::default() }
     }
 
-    /// The aggregators of all zones, for an entry that has just started elsewhere.
+    /// Returns the aggregators of all zones as rows, for an entry to which this one sends no full roster.
     #[must_use]
     pub fn aggregator_roster(&self, now_ms: u64) -> Roster {
         let mut zones = self.other_zones(now_ms);
         zones.insert(self.zone.clone());
         let addrs = zones.iter().flat_map(|zone| self.aggregators(zone, now_ms));
         let rows = addrs
-            .filter_map(|addr| self.heard.get(&addr).map(|known| row(addr, &known.peer, now_ms)));
+            .filter_map(|addr| self.known.get(&addr).map(|known| row(addr, &known.peer, now_ms)));
         Roster { rows: rows.collect(), ..Roster::default() }
     }
 }
@@ -183,7 +186,7 @@
 }
 
 fn age(peer: &Peer, now_ms: u64) -> u8 {
-    // Rounded up: what goes to and fro between entries would otherwise never age.
+    // Rounded up: a record sent back and forth between entries would otherwise never age.
     let steps = now_ms.saturating_sub(peer.last_heard_ms).div_ceil(AGE_STEP_MS);
     u8::try_from(steps).unwrap_or(u8::MAX)
 }
