--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries: carries out what the exchange and the delivery of counts decide.
+//! Sends and receives datagrams between entries, as the exchange and the delivery of billing counts decide.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,20 +14,20 @@
 use crate::gateway::measures;
 use crate::{clock, lease, metric, seal};
 
-/// Pause between two looks at what is to be told.
+/// Interval between two ticks of the exchange.
 const TICK_MS: u64 = 50;
-/// What comes in this time after a long prompt is told with it.
-const NEWS_GATHER_MS: u64 = 10;
-/// How often counts are sent; with more entries than this less often in proportion, so that who bills is
-/// not buried in them.
+/// Delay before urgent load is sent, to send further load together with it.
+const URGENT_BATCH_MS: u64 = 10;
+/// Interval at which billing counts are sent in a fleet of up to [`COUNTS_ENTRIES`] entries.
 const COUNTS_MS: u64 = 200;
+/// In larger fleets the interval grows in proportion, so that the entries that bill are not overloaded.
 const COUNTS_ENTRIES: usize = 100;
-/// Entries that keep the counts of all: the holder of the duties and who follows it.
-const KEEPERS: usize = 2;
-/// What a holder has told of its lease is passed on for so long.
-const LEASE_TOLD_MS: u64 = 5_000;
+/// Number of entries that store the counts of all: the holder of the duties and its successor.
+const COUNT_RECEIVERS: usize = 2;
+/// How long information on a lease that was received from its holder is forwarded.
+const LEASE_FORWARD_MS: u64 = 5_000;
 
-/// Tells for as long as the process lives.
+/// Sends messages to the other entries until the process ends.
 pub(in crate::gateway) async fn run_sender<P: Platform>(control: Rc<Control<P>>) {
     let mut next_ms: u64 = 0;
     let mut next_counts_ms: u64 = 0;
@@ -37,9 +37,9 @@
         let has_urgent_work =
             wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
         if has_urgent_work {
-            // Until they know of a long prompt, the others take its engine for free, and what they send
-            // there waits behind it.
-            time::sleep(Duration::from_millis(NEWS_GATHER_MS)).await;
+            // Until the others know of a long prompt, they consider its engine free, and requests that they
+            // send there wait behind it.
+            time::sleep(Duration::from_millis(URGENT_BATCH_MS)).await;
         } else {
             next_ms = control.now_ms() + TICK_MS;
         }
@@ -66,7 +66,7 @@
 
 fn local_state<P>(control: &Control<P>, now_ms: u64) -> LocalState {
     let own = control.own_lease.get();
-    let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
+    let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
     let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
@@ -89,23 +89,23 @@
     }
 }
 
-/// Sends this entry's counts to those who keep them. Gives the pause until the next time.
+/// Sends this entry's counts to the entries that store them. Returns the time until the next sending in ms.
 fn send_counts<P>(control: &Control<P>, now_ms: u64) -> u64 {
     let shared = &control.shared;
     shared.forget_old_counts();
     let own = control.counts();
-    let (keepers, entries) = {
+    let (receivers, entries) = {
         let peers = &control.exchange.borrow().peers;
-        let mut keepers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
-        for addr in peers.duty_successors(KEEPERS, now_ms) {
-            if keepers.len() < KEEPERS && !keepers.contains(&addr) {
-                keepers.push(addr);
+        let mut receivers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+        for addr in peers.duty_successors(COUNT_RECEIVERS, now_ms) {
+            if receivers.len() < COUNT_RECEIVERS && !receivers.contains(&addr) {
+                receivers.push(addr);
             }
         }
-        (keepers, 1 + peers.live_count(now_ms))
+        (receivers, 1 + peers.live_count(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.parcels(&keepers, &own, shared.settled_ms()) {
+    for (addr, counts) in outbox.parcels(&receivers, &own, shared.settled_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
@@ -147,20 +147,20 @@
         let bytes = match seal::datagram(&control.secret, &one.message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                slog::warn!(control.log, "peers not told"; "reason" => error.to_string(),
+                slog::warn!(control.log, "message to peers not sent"; "reason" => error.to_string(),
                     "message" => one.message.kind());
                 continue;
             }
         };
         measures::told(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
         for addr in one.to {
-            // A datagram that does not leave is like one that was lost: the next one repairs it.
+            // A failed send is treated like a lost datagram: a later message makes up for it.
             let _ = control.socket.try_send_to(&bytes, addr);
         }
     }
 }
 
-/// Receives for as long as the process lives.
+/// Receives messages from the other entries until the process ends.
 pub(in crate::gateway) async fn run_receiver<P: Platform + 'static>(control: Rc<Control<P>>) {
     let mut buffer = vec![0; seal::MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -168,13 +168,13 @@
             continue;
         };
         match seal::open_datagram::<Message>(&control.secret, &buffer[..count]) {
-            Ok(message) => take(&control, message),
+            Ok(message) => handle(&control, message),
             Err(reject) => metric::count_reject(reject),
         }
     }
 }
 
-fn take<P: Platform + 'static>(control: &Rc<Control<P>>, message: Message) {
+fn handle<P: Platform + 'static>(control: &Rc<Control<P>>, message: Message) {
     let now_ms = control.now_ms();
     let shared = &control.shared;
     match message {
@@ -184,7 +184,7 @@
         }
         Message::Roster(roster) => {
             let new = control.exchange.borrow_mut().peers.merge_roster(&roster, now_ms);
-            new.into_iter().for_each(|addr| note_peer(control, addr));
+            new.into_iter().for_each(|addr| log_new_peer(control, addr));
         }
         Message::Placements(placed) => {
             control.exchange.borrow_mut().forward(placed.hop, &placed.parts);
@@ -209,7 +209,7 @@
     }
 }
 
-fn note_peer<P>(control: &Control<P>, addr: SocketAddr) {
+fn log_new_peer<P>(control: &Control<P>, addr: SocketAddr) {
     slog::info!(control.log, "peer heard"; "peer" => addr.to_string());
 }
 
@@ -227,7 +227,7 @@
     let local = local_state(control, now_ms);
     let (is_new, answers) = control.exchange.borrow_mut().handle_state(state, &local, now_ms);
     if is_new {
-        note_peer(control, state.from);
+        log_new_peer(control, state.from);
     }
     send_all(control, answers);
     correct_time(control, state);
@@ -240,7 +240,7 @@
     if is_older && control.remembered.borrow_mut().try_begin() {
         task::spawn_local(pulls::pull_soft_state(Rc::clone(control), state.from));
     }
-    // One that has just started lists all at the store itself, and would only get the same twice.
+    // An entry that has just started lists everything at the store itself and would receive it twice.
     let is_listing = control.topics_to_list.get() > 0 && control.has_store();
     if !is_listing
         && advertised.is_newer(control)
@@ -250,8 +250,8 @@
     }
 }
 
-/// Sets the time of day by older peers while this process is young: it may have started in the
-/// middle of a jump of its instance's clock.
+/// Corrects the time of day by that of older peers while this process is young: it may have started while
+/// the clock of its instance was wrong for a moment.
 fn correct_time<P>(control: &Control<P>, state: &State) {
     const YOUNG_MS: u64 = 5_000;
     let time = control.shared.time;
