--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -66,8 +66,9 @@
 
 fn local_state<P>(control: &Control<P>, now_ms: u64) -> LocalState {
     let own = control.own_lease.get();
-    let told = control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
-    let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
+    let forwarded =
+        control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
+    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(told, _)| told.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
         (limits.told(now_ms), limits.newest_stamp())
@@ -250,8 +251,8 @@
     }
 }
 
-/// Corrects the time of day by that of older peers while this process is young: it may have started while
-/// the clock of its instance was wrong for a moment.
+/// Corrects the time of day by that of older peers while this process is young: it may have started during
+/// a jump of its instance's clock.
 fn correct_time<P>(control: &Control<P>, state: &State) {
     const YOUNG_MS: u64 = 5_000;
     let time = control.shared.time;
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -1,4 +1,5 @@
-//! Pulls: an entry that hears of a newer version than its own asks whoever told it for what is newer.
+//! Pulls over TCP: an entry requests newer configuration and directory from the peer that advertised them,
+//! and after its start the soft state of a peer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,59 +19,59 @@
 use crate::gateway::{directory, route};
 use crate::seal;
 
-/// How long a peer may stay ahead before its state is pulled: the own watch is mostly as fast.
+/// How long a peer may be ahead before its state is pulled: the entry's own watch is usually as fast.
 const PULL_AFTER_MS: u64 = 60;
-const PULL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pulls that are served at a time.
-const MAX_SERVED: usize = 4;
-const MAX_STATE_BYTES: u32 = 8 << 20;
-const MAX_WANTED_BYTES: u32 = 256;
-/// Pause after a connection could not be accepted: out of descriptors, mostly.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(100);
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum number of pulls that are served concurrently.
+const MAX_CONCURRENT_PULLS: usize = 4;
+const MAX_RESPONSE_BYTES: u32 = 8 << 20;
+const MAX_REQUEST_BYTES: u32 = 256;
+/// Delay after a failed accept, which is usually due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Prompt parts in a pull, the latest used first; 16 bytes each, so that a link of 10 Mbit/s carries
-/// them in a tenth of a second.
-const MAX_PLACED: usize = 8_000;
+/// Maximum number of prompt parts in a pull, the most recently used ones; 16 bytes each, so that a link of
+/// 10 Mbit/s transfers them in 100 ms.
+const MAX_PLACEMENTS: usize = 8_000;
 
-/// What a pull brings: what its sender has that is newer.
+/// Response to a pull: what its sender has that is newer than the requester's versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct State {
+struct PullResponse {
     config: Option<route::Parts>,
     directory: Option<directory::Directory>,
     lapsed: Vec<directory::Lapsed>,
     cold: Vec<directory::Cold>,
-    memory: Option<Memory>,
+    soft_state: Option<SoftState>,
 }
 
-/// What an entry that has just started cannot know by itself.
+/// State that an entry loses when it stops and obtains from other entries after its next start.
 ///
-/// Without it, it would have engines read again what they have, until the other entries tell of each
-/// part anew; and as holder of the duties it would seal windows without the counts of entries that
-/// have ended.
+/// Without it, an entry that has just started would have engines read prompts again that are in their prefix
+/// cache, until the other entries send each part anew. As holder of the duties it would seal billing windows
+/// without the counts of entries that have ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Memory {
+struct SoftState {
     placed: Vec<homes::Placed>,
     counts: BTreeMap<u64, tally::Counts>,
 }
 
-/// What a pull asks for: what is newer than the asker's own versions.
+/// Request of a pull: for anything newer than the requester's own versions.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Wanted {
+struct PullRequest {
     config_version: u64,
     directory_revision: u64,
-    recall: Recall,
+    scope: SoftStateScope,
 }
 
-/// What is asked of a peer's memory.
+/// Part of a peer's soft state that is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Recall {
+enum SoftStateScope {
     Nothing,
-    /// The counts for billing alone.
+    /// Only the billing counts.
     Counts,
     All,
 }
 
-/// What another entry says it has.
+/// Versions that another entry advertises.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::gateway) struct AdvertisedVersions {
     pub(in crate::gateway) from: SocketAddr,
@@ -78,56 +79,56 @@
     pub(in crate::gateway) directory_revision: u64,
 }
 
-impl Wanted {
-    fn only(recall: Recall) -> Self {
-        Self { config_version: u64::MAX, directory_revision: u64::MAX, recall }
+impl PullRequest {
+    fn only(scope: SoftStateScope) -> Self {
+        Self { config_version: u64::MAX, directory_revision: u64::MAX, scope }
     }
 }
 
 impl AdvertisedVersions {
-    /// Whether any of it is newer than what is known here.
+    /// Returns whether any of the versions is newer than this entry's own.
     pub(in crate::gateway) fn is_newer<P>(&self, control: &Control<P>) -> bool {
         self.config_version > control.config_version()
             || self.directory_revision > control.directory.borrow().revision()
     }
 }
 
-/// Pulls from a peer, if it is still ahead in a moment.
+/// Pulls from a peer if it is still ahead after [`PULL_AFTER_MS`].
 pub(in crate::gateway) async fn pull<P: Platform>(
     control: Rc<Control<P>>,
     advertised: AdvertisedVersions,
 ) {
     time::sleep(Duration::from_millis(PULL_AFTER_MS)).await;
     if advertised.is_newer(&control) {
-        let wanted = Wanted {
+        let request = PullRequest {
             config_version: control.config_version(),
             directory_revision: control.directory.borrow().revision(),
-            recall: Recall::Nothing,
+            scope: SoftStateScope::Nothing,
         };
-        match read_state(&control, advertised.from, wanted).await {
-            Ok(state) => {
-                if let Some(parts) = state.config {
+        match request_state(&control, advertised.from, request).await {
+            Ok(response) => {
+                if let Some(parts) = response.config {
                     control.take_table(parts, "peer");
                 }
-                if let Some(newer) = state.directory {
+                if let Some(newer) = response.directory {
                     let now_ms = control.now_ms();
                     control.change_directory("peer", |directory| {
-                        directory.adopt(newer, &state.lapsed, &state.cold, now_ms)
+                        directory.adopt(newer, &response.lapsed, &response.cold, now_ms)
                     });
                 }
             }
-            Err(error) => note_failed(&control, advertised.from, &error),
+            Err(error) => log_failure(&control, advertised.from, &error),
         }
     }
     control.exchange.borrow_mut().peers.end_pull();
 }
 
-fn note_failed<P>(control: &Control<P>, from: SocketAddr, error: &anyhow::Error) {
+fn log_failure<P>(control: &Control<P>, from: SocketAddr, error: &anyhow::Error) {
     slog::info!(control.log, "pull failed"; "peer" => from.to_string(),
         "error" => format!("{error:#}"));
 }
 
-/// What an entry has of what those before it remember.
+/// Progress of pulling the soft state of an older peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SoftStatePull {
     #[default]
@@ -137,11 +138,11 @@
 }
 
 impl SoftStatePull {
-    /// Whether to ask a peer now; it counts as asked from then on.
+    /// Starts a pull if one is needed and none is in flight. Returns whether it was started.
     ///
-    /// One is asked at a time. All at once would fill the link of a small instance for seconds, none
-    /// would answer in time, and a change of the configuration would wait behind them: callers would
-    /// get 404 for a route that is there.
+    /// Only one peer is asked at a time. Answers of all peers at once would fill the link of a small instance
+    /// for seconds, so that none would arrive in time. A new configuration would be delayed behind them, and
+    /// callers would get 404 for a route that exists.
     pub fn try_begin(&mut self) -> bool {
         let is_due = *self == Self::Needed;
         if is_due {
@@ -150,142 +151,144 @@
         is_due
     }
 
-    /// The peer that was asked has answered, or not.
+    /// Ends the pull in flight. Another one is needed unless the soft state was received.
     pub fn finish(&mut self, is_received: bool) {
         *self = if is_received { Self::Done } else { Self::Needed };
     }
 }
 
-/// Pulls what a peer that has run for longer remembers.
+/// Pulls the soft state of a peer that has run for longer.
 pub(in crate::gateway) async fn pull_soft_state<P: Platform>(
     control: Rc<Control<P>>,
     from: SocketAddr,
 ) {
-    let is_told = match read_state(&control, from, Wanted::only(Recall::All)).await {
-        Ok(State { memory: Some(memory), .. }) => {
-            remember(&control, memory, from);
-            true
-        }
-        Ok(State { memory: None, .. }) => false,
-        Err(error) => {
-            note_failed(&control, from, &error);
-            false
-        }
-    };
-    control.remembered.borrow_mut().finish(is_told);
+    let is_received =
+        match request_state(&control, from, PullRequest::only(SoftStateScope::All)).await {
+            Ok(PullResponse { soft_state: Some(soft_state), .. }) => {
+                merge_soft_state(&control, soft_state, from);
+                true
+            }
+            Ok(PullResponse { soft_state: None, .. }) => false,
+            Err(error) => {
+                log_failure(&control, from, &error);
+                false
+            }
+        };
+    control.remembered.borrow_mut().finish(is_received);
 }
 
-/// Takes over the counts that peers keep of all entries, as far as they answer in time.
+/// Merges the billing counts that these peers store of all entries. Peers that do not answer in time are
+/// skipped.
 pub(in crate::gateway) async fn gather_counts<P: Platform>(
     control: &Control<P>,
     peers: &[SocketAddr],
 ) {
     let asked = peers.iter().map(async |from| {
-        match read_state(control, *from, Wanted::only(Recall::Counts)).await {
-            Ok(State { memory: Some(memory), .. }) => {
+        match request_state(control, *from, PullRequest::only(SoftStateScope::Counts)).await {
+            Ok(PullResponse { soft_state: Some(soft_state), .. }) => {
                 slog::info!(control.log, "counts gathered"; "peer" => from.to_string(),
-                    "starts" => memory.counts.len());
-                control.shared.tally().take_saved(memory.counts);
+                    "starts" => soft_state.counts.len());
+                control.shared.tally().take_saved(soft_state.counts);
             }
-            Ok(State { memory: None, .. }) => {}
-            Err(error) => note_failed(control, *from, &error),
+            Ok(PullResponse { soft_state: None, .. }) => {}
+            Err(error) => log_failure(control, *from, &error),
         }
     });
     future::join_all(asked).await;
 }
 
-fn remember<P>(control: &Control<P>, memory: Memory, from: SocketAddr) {
+fn merge_soft_state<P>(control: &Control<P>, soft_state: SoftState, from: SocketAddr) {
     let now_ms = control.now_ms();
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
-        "parts" => memory.placed.len(), "starts" => memory.counts.len());
+        "parts" => soft_state.placed.len(), "starts" => soft_state.counts.len());
     let mut homes = control.shared.homes();
-    memory.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
-    control.shared.tally().take_saved(memory.counts);
+    soft_state.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
+    control.shared.tally().take_saved(soft_state.counts);
 }
 
-async fn read_state<P>(
+async fn request_state<P>(
     control: &Control<P>,
     from: SocketAddr,
-    wanted: Wanted,
-) -> anyhow::Result<State> {
-    let read = time::timeout(PULL_LIMIT, try_read_state(control, from, wanted)).await;
-    read.unwrap_or_else(|_| Err(anyhow::anyhow!("no answer in time")))
+    request: PullRequest,
+) -> anyhow::Result<PullResponse> {
+    let read = time::timeout(PULL_TIMEOUT, try_request_state(control, from, request)).await;
+    read.unwrap_or_else(|_| Err(anyhow::anyhow!("no answer within {PULL_TIMEOUT:?}")))
 }
 
-async fn try_read_state<P>(
+async fn try_request_state<P>(
     control: &Control<P>,
     from: SocketAddr,
-    wanted: Wanted,
-) -> anyhow::Result<State> {
+    request: PullRequest,
+) -> anyhow::Result<PullResponse> {
     let mut stream = TcpStream::connect(from).await?;
-    let request = seal::bytes(&control.secret, &wanted)?;
+    let request = seal::bytes(&control.secret, &request)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
-    let bytes = read_bytes(&mut stream, MAX_STATE_BYTES).await?;
+    let bytes = read_bytes(&mut stream, MAX_RESPONSE_BYTES).await?;
     Ok(seal::open_bytes(&control.secret, &bytes)?)
 }
 
 async fn read_bytes(stream: &mut TcpStream, most: u32) -> anyhow::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    anyhow::ensure!(length <= most, "a message of {length} bytes");
+    anyhow::ensure!(length <= most, "message of {length} bytes exceeds the limit of {most} bytes");
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
     Ok(bytes)
 }
 
-/// Gives the whole state to peers that ask.
+/// Serves pulls of other entries.
 pub(in crate::gateway) async fn serve<P: Platform + 'static>(
     control: Rc<Control<P>>,
     listener: TcpListener,
 ) {
-    // One after the other, so that some are served in time: all at once would share the link of a small
-    // instance, and none would be. After a start of hundreds of entries that went on for as long as they
-    // asked again.
-    let served = Rc::new(Semaphore::new(MAX_SERVED));
+    // Concurrency is limited so that some pulls are served in time: all at once would share the link of a
+    // small instance, and each would time out. After a start of hundreds of entries this went on for as long
+    // as they retried.
+    let permits = Rc::new(Semaphore::new(MAX_CONCURRENT_PULLS));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            time::sleep(ACCEPT_AGAIN).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (control, served) = (Rc::clone(&control), Rc::clone(&served));
+        let (control, permits) = (Rc::clone(&control), Rc::clone(&permits));
         task::spawn_local(async move {
-            let Ok(Ok(_turn)) = time::timeout(PULL_LIMIT, served.acquire()).await else {
+            let Ok(Ok(_permit)) = time::timeout(PULL_TIMEOUT, permits.acquire()).await else {
                 return;
             };
-            let given = time::timeout(PULL_LIMIT, write_state(&control, stream)).await;
-            if !matches!(given, Ok(Ok(()))) {
+            let outcome = time::timeout(PULL_TIMEOUT, respond(&control, stream)).await;
+            if !matches!(outcome, Ok(Ok(()))) {
                 slog::info!(control.log, "a peer's pull was not served");
             }
         });
     }
 }
 
-fn memory<P>(control: &Control<P>, recall: Recall) -> Option<Memory> {
-    let placed = match recall {
-        Recall::Nothing => return None,
-        Recall::Counts => Vec::new(),
-        Recall::All => control.shared.homes().latest(MAX_PLACED),
+fn soft_state<P>(control: &Control<P>, scope: SoftStateScope) -> Option<SoftState> {
+    let placed = match scope {
+        SoftStateScope::Nothing => return None,
+        SoftStateScope::Counts => Vec::new(),
+        SoftStateScope::All => control.shared.homes().latest(MAX_PLACEMENTS),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
-    Some(Memory { placed, counts })
+    Some(SoftState { placed, counts })
 }
 
-async fn write_state<P>(control: &Control<P>, mut stream: TcpStream) -> anyhow::Result<()> {
-    let request = read_bytes(&mut stream, MAX_WANTED_BYTES).await?;
-    let wanted: Wanted = seal::open_bytes(&control.secret, &request)?;
-    let state = {
+async fn respond<P>(control: &Control<P>, mut stream: TcpStream) -> anyhow::Result<()> {
+    let bytes = read_bytes(&mut stream, MAX_REQUEST_BYTES).await?;
+    let request: PullRequest = seal::open_bytes(&control.secret, &bytes)?;
+    let response = {
         let (table, directory) = (control.table.borrow(), control.directory.borrow());
-        let newer = table.as_ref().filter(|table| table.version() > wanted.config_version);
-        State {
+        let newer = table.as_ref().filter(|table| table.version() > request.config_version);
+        PullResponse {
             config: newer.map(|table| table.parts().clone()),
-            directory: (directory.revision() > wanted.directory_revision)
+            directory: (directory.revision() > request.directory_revision)
                 .then(|| directory.clone()),
             lapsed: directory.lapsed(control.now_ms()),
             cold: directory.cold(control.now_ms()),
-            memory: memory(control, wanted.recall),
+            soft_state: soft_state(control, request.scope),
         }
     };
-    let bytes = seal::bytes(&control.secret, &state)?;
+    let bytes = seal::bytes(&control.secret, &response)?;
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(&bytes).await?;
     stream.shutdown().await?;
