--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet on a virtual clock: who knows whom, what work is known where and how soon, what it costs, and
-//! what is billed, while datagrams are lost and entries die, freeze, start and take over.
+//! A fleet of entries on a virtual clock: membership, how fast load spreads, traffic and billing, while
+//! datagrams are lost and entries die, freeze, start and take over.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use crate::virtual_fleet::{Fleet, SIZES, STEP_MS, WINDOW_MS, ZONES, key};
 
-/// Live entries that take each other for gone each read the store, contend for the duties and take a
-/// larger share of every budget.
+/// Guards against live entries that consider each other dead. Each of them would read the store, contend for
+/// the duties and take a larger share of every budget.
 #[test]
-fn live_entries_are_never_taken_for_gone() {
+fn live_entries_are_never_considered_dead() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         let settled_ms = fleet.settles_within_ms(1_500);
@@ -23,10 +23,10 @@
     }
 }
 
-/// The one that aggregates and the one that stands by die together with others. Who goes on taking them
-/// for alive waits for them.
+/// Guards against entries that wait for dead aggregators. The active and the standby aggregator of a zone die
+/// together with other entries.
 #[test]
-fn deaths_are_known_within_two_seconds_even_of_those_that_aggregate() {
+fn deaths_including_aggregators_are_known_within_two_seconds() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.settles_within_ms(1_500);
@@ -34,13 +34,13 @@
         let victims: Vec<usize> = first.iter().map(|addr| fleet.index[addr]).collect();
         fleet.silence(|index| victims.contains(&index) || index % 9 == 4);
         let settled_ms = fleet.settles_within_ms(2_000);
-        println!("{entries} entries know of deaths after {settled_ms} ms");
+        println!("{entries} entries detected the deaths after {settled_ms} ms");
     }
 }
 
-/// Half of the fleet starts at once, then three quarters of what there is by then.
+/// Guards against slow discovery while a fleet grows: by half at once, then by three quarters.
 #[test]
-fn entries_that_start_are_known_everywhere_within_a_second() {
+fn started_entries_are_known_everywhere_within_a_second() {
     // The last one grows to 341.
     for (entries, zones) in [(4, 2), (22, 3), (68, 5), (130, 7)] {
         let mut fleet = Fleet::open(entries, zones, 0.02);
@@ -53,9 +53,9 @@
     }
 }
 
-/// All entries are killed at once and are back a second later.
+/// Guards against slow discovery when all entries are killed at once and restart a second later.
 #[test]
-fn a_fleet_that_was_killed_knows_itself_again_within_a_second() {
+fn entries_of_a_killed_fleet_rediscover_each_other() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.settles_within_ms(1_500);
@@ -67,10 +67,10 @@
     }
 }
 
-/// Entries send to engines that others have just filled, because they do not know of it yet. What one
-/// entry has under way is known to all within three tenths of a second, also while an aggregator dies.
+/// Guards against entries that send to engines which others have just filled. The load of each entry has to
+/// be in the sums of all others within 300 ms, exactly once, and still once after an aggregator has died.
 #[test]
-fn work_is_known_everywhere_in_a_moment_and_summed_once() {
+fn load_is_known_everywhere_within_300_ms_and_summed_once() {
     const ENDPOINTS: usize = 200;
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.0);
@@ -101,7 +101,7 @@
             }
         };
         fleet.run_ms(300);
-        check(&fleet, "after a moment");
+        check(&fleet, "after 300 ms");
         let first = fleet.nodes[1].exchange.peers.aggregators(ZONES[1], fleet.now_ms)[0];
         let victim = fleet.index[&first];
         fleet.silence(|index| index == victim);
@@ -110,9 +110,9 @@
     }
 }
 
-/// Prompt parts that one entry has placed are known to all, so that nobody has them read again.
+/// Guards against prompts that are read again: all entries know where each prompt part was placed.
 #[test]
-fn placed_parts_reach_every_entry() {
+fn placements_reach_every_entry() {
     use briarwinch::gateway::request::Part;
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.0);
@@ -133,10 +133,10 @@
     }
 }
 
-/// Without callers' traffic an entry of the largest fleet sends less than 13 kB a second, those that
-/// aggregate apart, and the bytes between zones do not grow with the square of the fleet.
+/// Guards against traffic that grows with the square of the fleet. Without requests, an entry sends at most
+/// 13 kB/s on average, and at most 2 kB/s of that per entry passes between zones.
 #[test]
-fn telling_costs_little_at_any_size() {
+fn idle_traffic_is_bounded_at_any_size() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.0);
         fleet.settles_within_ms(1_500);
@@ -159,17 +159,20 @@
     }
 }
 
-/// What became of the windows of a run.
+/// Requests per billing window of a run.
 struct Billed {
-    truth: BTreeMap<u64, u32>,
+    /// As counted by the test.
+    expected: BTreeMap<u64, u32>,
+    /// As sealed by the holder of the duties.
     sealed: BTreeMap<u64, u32>,
 }
 
-/// Entries count requests for some windows while `disturb` is called before each step; the holder seals.
+/// Runs a fleet whose entries count requests for several windows while the holder seals them. Calls `disturb`
+/// before each step.
 fn bill(entries: usize, zones: usize, mut disturb: impl FnMut(&mut Fleet, u64)) -> Billed {
     let mut fleet = Fleet::open(entries, zones, 0.02);
     fleet.run_ms(2_000);
-    let mut billed = Billed { truth: BTreeMap::new(), sealed: BTreeMap::new() };
+    let mut billed = Billed { expected: BTreeMap::new(), sealed: BTreeMap::new() };
     let mut saved = Default::default();
     let (mut vacant_ms, mut held_ms) = (0, 0);
     let begin_ms = fleet.now_ms;
@@ -183,7 +186,7 @@
                 let account = format!("account-{}", fleet.random.random_range(0..40));
                 let boot = fleet.nodes[index].boot;
                 fleet.nodes[index].tally.add(boot, window, &account);
-                *billed.truth.entry(window).or_default() += 1;
+                *billed.expected.entry(window).or_default() += 1;
             }
         }
         let holder = fleet.nodes.iter().position(|node| node.holds_duties && !node.is_silent);
@@ -206,7 +209,7 @@
                 }
             }
             None => {
-                // The lease of a holder that died has to run out.
+                // The lease of a dead holder has to expire first.
                 vacant_ms += STEP_MS;
                 held_ms = 0;
                 if vacant_ms >= 5_000 || passed_ms == 0 {
@@ -220,27 +223,28 @@
         }
         fleet.step();
     }
-    // The first window began before the counting, the last one is not over.
+    // The first window began before the counting, and the last one has not ended.
     let (first, last) = (begin_ms / WINDOW_MS, fleet.now_ms / WINDOW_MS);
-    billed.truth.retain(|window, _| (first + 1..last - 2).contains(window));
+    billed.expected.retain(|window, _| (first + 1..last - 2).contains(window));
     billed
 }
 
 impl Billed {
     fn check(&self, what: &str, tolerance: f64) {
-        assert!(self.truth.len() >= 2, "{what}: {:?}", self.truth);
-        for (window, truth) in &self.truth {
+        assert!(self.expected.len() >= 2, "{what}: {:?}", self.expected);
+        for (window, expected) in &self.expected {
             let sealed = self.sealed.get(window).copied().unwrap_or(0);
-            let off = f64::from(truth.abs_diff(sealed)) / f64::from(*truth);
-            assert!(off <= tolerance, "{what}: window {window} has {sealed} of {truth}");
+            let off = f64::from(expected.abs_diff(sealed)) / f64::from(*expected);
+            assert!(off <= tolerance, "{what}: window {window} has {sealed} of {expected}");
         }
     }
 }
 
-/// All entries of a zone but a few freeze together, and go on. Those that know only each other would be a
-/// fleet of their own for good: they would read the store, contend for the duties and be billed by nobody.
+/// Guards against a split fleet after half of a zone was frozen together. Entries that know only each other
+/// would remain a fleet of their own: they would read the store and contend for the duties, and their
+/// requests would not be billed.
 #[test]
-fn entries_that_were_frozen_together_come_back_into_the_fleet() {
+fn entries_frozen_together_rejoin_the_fleet() {
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.settles_within_ms(1_500);
@@ -254,7 +258,8 @@
     }
 }
 
-/// A window sealed before the counts of all entries are in bills accounts for less than they used.
+/// Guards against windows that are sealed before the counts of all entries have arrived, so that accounts are
+/// billed for less than they used.
 #[test]
 fn windows_are_billed_exactly_at_any_size() {
     for (entries, zones) in SIZES {
@@ -262,14 +267,14 @@
     }
 }
 
-/// Entries are cut off from the others at the end of a window for a little longer than it takes to count them
-/// as gone. They go on serving, and what they counted is owed.
+/// Guards against lost counts of entries that are cut off at the end of a window for a little longer than the
+/// peer timeout. They continue to serve requests, which have to be billed.
 #[test]
-fn windows_wait_for_entries_that_may_only_be_cut_off() {
+fn windows_wait_for_entries_that_are_cut_off() {
     for (entries, zones) in [(22, 3), (68, 5)] {
         let billed = bill(entries, zones, |fleet, passed_ms| {
             let is_cut_off = |index: usize| index % 4 == 3;
-            // The first full window ends 3 s after the count begins, the next ones every 5 s.
+            // The first full window ends 3 s after counting begins, the next ones every 5 s.
             let begins = [6_000, 11_000].contains(&passed_ms);
             let ends = [10_500, 15_500].contains(&passed_ms);
             if begins || ends {
@@ -283,8 +288,8 @@
     }
 }
 
-/// Entries die, freeze for a while, start, and the holder dies: every window is within the tolerance that
-/// operators allow.
+/// Guards against windows outside the billing tolerance of 5 % while entries die, freeze and start and the
+/// holder of the duties dies.
 #[test]
 fn windows_are_billed_within_the_tolerance_while_entries_come_and_go() {
     // The last one grows to 339.
@@ -293,7 +298,7 @@
             6_000 => fleet.silence(|index| index % 20 == 7),
             7_500 => (0..entries / 2).for_each(|_| fleet.start(zones)),
             9_000 => fleet.silence(|index| index % 10 == 3),
-            // Those were frozen, and go on where they were.
+            // These were frozen and continue with their state.
             11_500 => {
                 let frozen =
                     fleet.nodes.iter_mut().enumerate().filter(|(index, _)| index % 10 == 3);
--- a/tests/gateway/pulls.rs
+++ b/tests/gateway/pulls.rs
@@ -1,18 +1,18 @@
-//! What a starting entry asks the others for.
+//! Pulls of a starting entry from its peers.
 
 use briarwinch::gateway::fleet::pulls::SoftStatePull;
 
-/// An entry starts and hears of twenty-seven others within milliseconds. It asked all of them for what
-/// they remember; over its link of 10 Mbit/s none could answer in time, again and again, and a
-/// configuration accepted meanwhile was in force seven seconds late.
+/// Guards against pulling the soft state of all peers at once. A starting entry that discovers 27 peers
+/// within milliseconds asked all of them. Over its link of 10 Mbit/s no answer arrived in time, retries
+/// failed likewise, and a configuration accepted meanwhile took effect seven seconds late.
 #[test]
-fn a_starting_entry_asks_one_other_at_a_time() {
-    let mut remembered = SoftStatePull::default();
-    let asked = (0..27).filter(|_| remembered.try_begin()).count();
-    assert_eq!(asked, 1);
-    remembered.finish(false);
-    assert!(remembered.try_begin(), "another is asked when the first did not answer");
-    assert!(!remembered.try_begin());
-    remembered.finish(true);
-    assert!(!remembered.try_begin(), "once told, it asks no more");
+fn a_starting_entry_pulls_from_one_peer_at_a_time() {
+    let mut pull = SoftStatePull::default();
+    let begun = (0..27).filter(|_| pull.try_begin()).count();
+    assert_eq!(begun, 1);
+    pull.finish(false);
+    assert!(pull.try_begin(), "another peer is asked after the first did not answer");
+    assert!(!pull.try_begin());
+    pull.finish(true);
+    assert!(!pull.try_begin(), "no peer is asked once the soft state was received");
 }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of entries on a virtual clock, with datagrams that take time and get lost.
+//! A simulated fleet of entries on a virtual clock, with delayed and lost datagrams.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 pub const COUNTS_MS: u64 = 200;
 pub const START_MS: u64 = 100_000;
 pub const WINDOW_MS: u64 = 5_000;
-/// Bytes of a seal and of the headers of a datagram.
+/// Bytes of the seal and of the IP and UDP headers of a datagram.
 pub const FRAME_BYTES: usize = 16 + 28;
 pub const SEED: u64 = 20;
 pub const ZONES: [&str; 7] = ["a", "b", "c", "d", "e", "f", "g"];
@@ -41,11 +41,11 @@
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub evacuations: evacuation::Evacuations,
-    /// Work has come of which the others have to know at once.
+    /// Load was added that the others have to know at once.
     pub has_news: bool,
-    /// It runs, and no other hears it or is heard.
+    /// Running, but neither sends to nor receives from any other entry.
     pub is_cut_off: bool,
-    /// Only entries of the same island hear each other.
+    /// Network partition. Only entries of the same partition reach each other.
     pub island: u8,
     /// Dead or frozen.
     pub is_silent: bool,
@@ -57,8 +57,8 @@
     pub now_ms: u64,
     pub nodes: Vec<Node>,
     pub index: HashMap<SocketAddr, usize>,
-    /// By the time at which they arrive.
-    pub under_way: BTreeMap<u64, Vec<(SocketAddr, Message)>>,
+    /// Datagrams in flight by their arrival time.
+    pub in_flight: BTreeMap<u64, Vec<(SocketAddr, Message)>>,
     pub random: StdRng,
     pub lost: f64,
     pub between_zones_bytes: usize,
@@ -70,7 +70,7 @@
 
 pub const SIZES: [(usize, usize); 4] = [(4, 2), (22, 3), (68, 5), (340, 7)];
 
-/// Names an endpoint of these tests.
+/// Returns the key of a test endpoint.
 pub fn key(index: usize) -> EndpointKey {
     EndpointKey::of(&format!("endpoint-{index}"))
 }
@@ -106,7 +106,7 @@
             now_ms: START_MS,
             nodes: Vec::new(),
             index: HashMap::new(),
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             random: StdRng::seed_from_u64(SEED),
             lost,
             between_zones_bytes: 0,
@@ -115,7 +115,7 @@
         fleet
     }
 
-    /// Starts one more entry; in each zone a few are stronger than the others.
+    /// Starts one more entry. In each zone a few have more CPU than the others.
     pub fn start(&mut self, zones: usize) {
         let index = self.nodes.len();
         let zone = ZONES[index % zones];
@@ -164,7 +164,7 @@
         }
     }
 
-    /// The entry starts again and knows nothing.
+    /// Restarts an entry without any of its state.
     pub fn restart(&mut self, index: usize) {
         let zone = self.nodes[index].zone;
         self.nodes[index] = Self::node(index, zone, 0.09, self.now_ms, &mut self.random);
@@ -179,7 +179,7 @@
 
     pub fn step(&mut self) {
         let now_ms = self.now_ms;
-        while let Some(first) = self.under_way.first_entry().filter(|one| *one.key() <= now_ms) {
+        while let Some(first) = self.in_flight.first_entry().filter(|one| *one.key() <= now_ms) {
             for (to, message) in first.remove() {
                 self.deliver(to, message);
             }
@@ -215,7 +215,7 @@
                     && self.nodes[from].island == self.nodes[other].island;
                 if is_heard && !self.random.random_bool(self.lost) {
                     let at_ms = self.now_ms + STEP_MS;
-                    self.under_way.entry(at_ms).or_default().push((to, one.message.clone()));
+                    self.in_flight.entry(at_ms).or_default().push((to, one.message.clone()));
                 }
             }
         }
@@ -276,7 +276,7 @@
         self.nodes.iter().filter(|node| !node.is_silent).count()
     }
 
-    /// Fewest and most live others that any live entry knows.
+    /// Returns the smallest and largest number of live peers that any live entry knows.
     pub fn known(&self) -> (usize, usize) {
         let alive = self.nodes.iter().filter(|node| !node.is_silent);
         let known: Vec<usize> =
@@ -284,7 +284,8 @@
         (*known.iter().min().expect("entries"), *known.iter().max().expect("entries"))
     }
 
-    /// How long until each live entry knows all others that live, and no others.
+    /// Runs until each live entry knows exactly the other live entries. Returns how long that took, and
+    /// panics after the limit.
     pub fn settles_within_ms(&mut self, limit_ms: u64) -> u64 {
         let begin_ms = self.now_ms;
         let others = self.alive() - 1;
@@ -301,21 +302,21 @@
     }
 }
 
-/// Something that happens to some entries.
+/// Fault that is injected into some entries.
 #[derive(Clone, Copy, Debug)]
 pub enum Trouble {
-    /// Each of them is cut off from all others.
+    /// Each affected entry is cut off from all others.
     CutOff,
-    /// They hear only each other.
+    /// The affected entries reach only each other.
     Split,
     Freeze,
     Kill,
     Start,
-    /// All that are cut off or frozen are back; the dead start again.
+    /// Reconnects and unfreezes all entries and restarts the dead ones.
     Heal,
 }
 
-/// Some troubles, with the share of the entries that each hits and the time until the next.
+/// Generates faults, each with the share of entries that it affects and the time until the next in ms.
 pub fn troubles() -> impl Strategy<Value = Vec<(Trouble, f64, u64)>> {
     let trouble = prop_oneof![
         Just(Trouble::CutOff),
@@ -329,8 +330,8 @@
 }
 
 impl Fleet {
-    /// Trouble hits a share of the entries; `dead` are those that were killed and not started again. Gives
-    /// those that start again now.
+    /// Injects a fault into a share of the entries. `dead` holds the entries that were killed and not
+    /// restarted. Returns the entries that are restarted now.
     pub fn strike(
         &mut self,
         zones: usize,
@@ -385,12 +386,12 @@
 
 pub fn counts(node: &mut Node, now_ms: u64) -> Vec<Outgoing> {
     let peers = &node.exchange.peers;
-    let mut keepers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
-    keepers.extend(peers.duty_successors(2, now_ms));
-    keepers.dedup();
-    keepers.truncate(2);
+    let mut receivers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+    receivers.extend(peers.duty_successors(2, now_ms));
+    receivers.dedup();
+    receivers.truncate(2);
     let own = node.tally.newest_of(node.boot, 6);
-    let parcels = node.outbox.parcels(&keepers, &own, now_ms);
+    let parcels = node.outbox.parcels(&receivers, &own, now_ms);
     let message = |counts| Message::Counts { from: node.addr, counts };
     parcels
         .into_iter()
