--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -340,16 +340,16 @@
     ) -> Vec<usize> {
         let (trouble, share) = what;
         for index in 0..self.nodes.len() {
-            let is_hit = self.random.random_bool(share);
+            let is_affected = self.random.random_bool(share);
             match trouble {
-                Trouble::CutOff if is_hit => self.nodes[index].is_cut_off = true,
-                Trouble::Split if is_hit => self.nodes[index].island = 1,
-                Trouble::Freeze if is_hit => self.nodes[index].is_silent = true,
-                Trouble::Kill if is_hit => {
+                Trouble::CutOff if is_affected => self.nodes[index].is_cut_off = true,
+                Trouble::Split if is_affected => self.nodes[index].island = 1,
+                Trouble::Freeze if is_affected => self.nodes[index].is_silent = true,
+                Trouble::Kill if is_affected => {
                     self.nodes[index].is_silent = true;
                     dead.push(index);
                 }
-                Trouble::Start if is_hit && self.nodes.len() < 400 => self.start(zones),
+                Trouble::Start if is_affected && self.nodes.len() < 400 => self.start(zones),
                 Trouble::Heal => {
                     let node = &mut self.nodes[index];
                     (node.is_cut_off, node.island, node.is_silent) = (false, 0, false);
