--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -68,7 +68,7 @@
     let own = control.own_lease.get();
     let forwarded =
         control.passed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
-    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(told, _)| told.version);
+    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(lease, _)| lease.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
         (limits.told(now_ms), limits.newest_stamp())
@@ -79,9 +79,9 @@
         config_version: control.config_version(),
         directory_revision: control.directory.borrow().revision(),
         has_store: control.has_store(),
-        holds_duties: own.is_some_and(|(told, _)| told.left_ms > 0 && !told.is_over),
+        holds_duties: own.is_some_and(|(lease, _)| lease.left_ms > 0 && !lease.is_over),
         is_stopping: control.shared.is_draining(),
-        lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
+        lease: newest.map(|(lease, at_ms)| lease.after(now_ms - at_ms)),
         gate: control.shared.gate.ages(now_ms),
         evacuations: control.evacuations.borrow().told(now_ms),
         limits,
@@ -218,11 +218,11 @@
     let shared = &control.shared;
     shared.gate.take(state.gate, now_ms);
     control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
-    if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
-        let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
+    if let Some(lease) = state.lease.filter(|lease| lease.boot != shared.boot) {
+        let newer = |(known, _): (lease::Told, u64)| known.version <= lease.version;
         if control.passed_lease.get().is_none_or(newer) {
-            control.passed_lease.set(Some((told, now_ms)));
-            control.told_lease.set(Some((told, now_ms)));
+            control.passed_lease.set(Some((lease, now_ms)));
+            control.told_lease.set(Some((lease, now_ms)));
         }
     }
     let local = local_state(control, now_ms);
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -58,7 +58,7 @@
 impl LocalState {
     /// Returns the part of the state that is sent at once when it changes.
     fn urgent(&self, role: Role) -> Urgent {
-        let lease = self.lease.map(|told| (told.version, told.is_over));
+        let lease = self.lease.map(|lease| (lease.version, lease.is_over));
         let is_aggregating = role == Role::Aggregator;
         let flags = [self.has_store, self.holds_duties, self.is_stopping, is_aggregating];
         let versions = [
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -1,5 +1,5 @@
-//! Rosters by which entries tell each other which peers are live: full rows of peers that are new or have
-//! changed, digests of others, and one combined digest for a zone whose peers were all heard lately.
+//! Rosters that entries send each other of the live peers: full rows of peers that are new or have changed,
+//! digests of others, and one combined digest for a zone whose peers were all heard lately.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -244,8 +244,8 @@
                 placed.parts.into_iter().for_each(|one| node.homes.note(one, now_ms));
             }
             Message::Limits(limits) => {
-                for told in limits {
-                    node.limits.adopt(told, now_ms);
+                for limit in limits {
+                    node.limits.adopt(limit, now_ms);
                 }
             }
             Message::Departures(departures) => {
