--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -16,7 +16,7 @@
 use tokio::{task, time};
 
 use super::duties::{billing, delivery, election, scaling, tally};
-use super::fleet::{datagrams, exchange, members, peers, pulls, recall};
+use super::fleet::{datagrams, exchange, members, peers, prefix_recovery, pulls};
 use super::policy::budget;
 use super::{directory, evacuation, request, route, shared, watch};
 use crate::{bound, clock, lease, seal, store};
@@ -132,7 +132,7 @@
     /// Whether the store answered the last read of the lease.
     pub(super) is_lease_readable: Cell<bool>,
     /// How far this entry has recovered the state that its peers have from before its start.
-    pub(super) remembered: RefCell<pulls::Remembered>,
+    pub(super) remembered: RefCell<pulls::SoftStatePull>,
     has_endpoint_list: Cell<bool>,
     /// Number of topics that this process has not listed in the store yet.
     pub(super) topics_to_list: Cell<usize>,
@@ -212,12 +212,12 @@
         task::spawn_local(watch::follow(Rc::clone(&control), *topic));
     }
     task::spawn_local(watch::probe(Rc::clone(&control)));
-    task::spawn_local(recall::ask_engines(Rc::clone(&control)));
+    task::spawn_local(prefix_recovery::query_engines(Rc::clone(&control)));
     task::spawn_local(pulls::serve(Rc::clone(&control), listener));
-    task::spawn_local(datagrams::receive(Rc::clone(&control)));
-    task::spawn_local(members::enrol(Rc::clone(&control)));
+    task::spawn_local(datagrams::run_receiver(Rc::clone(&control)));
+    task::spawn_local(members::register_and_discover(Rc::clone(&control)));
     task::spawn_local(election::contend(Rc::clone(&control)));
-    datagrams::tell(control).await;
+    datagrams::run_sender(control).await;
     Ok(())
 }
 
@@ -227,11 +227,11 @@
 
 fn open_exchange(shared: &shared::Shared) -> exchange::Exchange {
     let settings = &shared.settings;
-    let own = exchange::Own {
+    let own = exchange::Identity {
         addr: settings.peer_addr(),
         boot: shared.boot,
         zone: settings.zone.clone(),
-        strength: settings.millicores(),
+        millicores: settings.millicores(),
     };
     let now_ms = clock::boot_ms();
     exchange::Exchange::new(own, peers::Peers::new(settings, now_ms), now_ms)
@@ -274,7 +274,7 @@
 
     /// Whether enough other entries of this zone come before this one as readers of the store.
     pub(super) fn is_standby_reader(&self) -> bool {
-        self.exchange.borrow().peers.reading_rank(self.now_ms()) >= FREQUENT_READERS
+        self.exchange.borrow().peers.store_reader_rank(self.now_ms()) >= FREQUENT_READERS
     }
 
     /// Whether this entry reads the store for its zone. The others receive changes from their zone's
@@ -284,7 +284,7 @@
         let peers = &self.exchange.borrow().peers;
         let zones = 1 + peers.other_zones(now_ms).len();
         let readers = if zones >= MANY_ZONES { 1 } else { 2 };
-        peers.readers_before(now_ms) < readers
+        peers.active_readers_before(now_ms) < readers
     }
 
     /// Applies a configuration if it is newer than the one in force.
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -115,7 +115,7 @@
                 else {
                     continue;
                 };
-                let is_assigned = exchange.keeps(endpoint.key, &endpoint.zone);
+                let is_assigned = exchange.is_sole_sender(endpoint.key, &endpoint.zone);
                 let allowed = warmup::Allowed {
                     until_ms,
                     most_per_s: if is_assigned { most_per_s } else { 0 },
--- a/src/gateway/duties/election.rs
+++ b/src/gateway/duties/election.rs
@@ -125,18 +125,19 @@
 
 /// Whether this entry is next in line for the duties, so that it keeps reading the lease.
 fn is_standby<P>(control: &Control<P>, now_ms: u64) -> bool {
-    control.shared.is_ready() && control.exchange.borrow().peers.rank(now_ms) <= STANDBY_ENTRIES
+    control.shared.is_ready()
+        && control.exchange.borrow().peers.duty_rank(now_ms) <= STANDBY_ENTRIES
 }
 
 /// Whether this entry contends now: no holder is known, and its wait by rank is over.
 fn may_contend<P>(control: &Control<P>, now_ms: u64, vacant_since_ms: &mut Option<u64>) -> bool {
     let peers = &control.exchange.borrow().peers;
-    if !control.shared.is_ready() || peers.holder(now_ms).is_some() {
+    if !control.shared.is_ready() || peers.duty_holder(now_ms).is_some() {
         *vacant_since_ms = None;
         return false;
     }
     let since_ms = *vacant_since_ms.get_or_insert(now_ms);
-    now_ms >= since_ms + VACANT_MS + peers.rank(now_ms) as u64 * VACANT_RANK_MS
+    now_ms >= since_ms + VACANT_MS + peers.duty_rank(now_ms) as u64 * VACANT_RANK_MS
 }
 
 async fn read_lease<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
@@ -162,4 +163,4 @@
 }
 
 /// A peer that is considered gone is no longer considered the holder.
-const _: () = assert!(peers::GONE_MS < TERMS.term_ms, "a vacancy is noticed within a term");
+const _: () = assert!(peers::PEER_TIMEOUT_MS < TERMS.term_ms, "a vacancy is noticed within a term");
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between entries: carries out what the exchange and the delivery of counts decide.
+//! Sends and receives datagrams between entries, as the exchange and the delivery of billing counts decide.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,54 +8,54 @@
 use tokio::{task, time};
 
 use crate::gateway::control::{Control, Platform};
-use crate::gateway::fleet::exchange::{Facts, Outgoing};
+use crate::gateway::fleet::exchange::{LocalState, Outgoing};
 use crate::gateway::fleet::message::{Message, State};
 use crate::gateway::fleet::pulls;
 use crate::gateway::measures;
 use crate::{clock, lease, metric, seal};
 
-/// Pause between two looks at what is to be told.
+/// Interval between two ticks of the exchange.
 const TICK_MS: u64 = 50;
-/// What comes in this time after a long prompt is told with it.
-const NEWS_GATHER_MS: u64 = 10;
-/// How often counts are sent; with more entries than this less often in proportion, so that who bills is
-/// not buried in them.
+/// Delay before urgent load is sent, to send further load together with it.
+const URGENT_BATCH_MS: u64 = 10;
+/// Interval at which billing counts are sent in a fleet of up to [`COUNTS_ENTRIES`] entries.
 const COUNTS_MS: u64 = 200;
+/// In larger fleets the interval grows in proportion, so that the entries that bill are not overloaded.
 const COUNTS_ENTRIES: usize = 100;
-/// Entries that keep the counts of all: the holder of the duties and who follows it.
-const KEEPERS: usize = 2;
-/// What a holder has told of its lease is passed on for so long.
-const LEASE_TOLD_MS: u64 = 5_000;
+/// Number of entries that store the counts of all: the holder of the duties and its successor.
+const COUNT_RECEIVERS: usize = 2;
+/// How long information on a lease that was received from its holder is forwarded.
+const LEASE_FORWARD_MS: u64 = 5_000;
 
-/// Tells for as long as the process lives.
-pub(in crate::gateway) async fn tell<P: Platform>(control: Rc<Control<P>>) {
+/// Sends messages to the other entries until the process ends.
+pub(in crate::gateway) async fn run_sender<P: Platform>(control: Rc<Control<P>>) {
     let mut next_ms: u64 = 0;
     let mut next_counts_ms: u64 = 0;
     loop {
         let wait_ms = next_ms.saturating_sub(control.now_ms());
         let news = control.shared.urgent_update.notified();
-        let is_news =
+        let has_urgent_work =
             wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
-        if is_news {
-            // Until they know of a long prompt, the others take its engine for free, and what they send
-            // there waits behind it.
-            time::sleep(Duration::from_millis(NEWS_GATHER_MS)).await;
+        if has_urgent_work {
+            // Until the others know of a long prompt, they consider its engine free, and requests that they
+            // send there wait behind it.
+            time::sleep(Duration::from_millis(URGENT_BATCH_MS)).await;
         } else {
             next_ms = control.now_ms() + TICK_MS;
         }
         let now_ms = control.now_ms();
-        let facts = facts(&control, now_ms);
+        let local = local_state(&control, now_ms);
         let outgoing = {
             let mut book = control.shared.load_table();
             let mut homes = control.shared.prefix_locations();
             let mut exchange = control.exchange.borrow_mut();
-            exchange.tick(now_ms, &facts, is_news, &mut book, &mut homes)
+            exchange.tick(now_ms, &local, has_urgent_work, &mut book, &mut homes)
         };
         send_all(&control, outgoing);
         if now_ms >= next_counts_ms {
             next_counts_ms = now_ms + send_counts(&control, now_ms);
         }
-        if !is_news {
+        if !has_urgent_work {
             update_entries(&control, now_ms);
             control.update_directory("grace time over", |directory| directory.expire(now_ms));
             control.update_warming();
@@ -64,23 +64,24 @@
     }
 }
 
-fn facts<P>(control: &Control<P>, now_ms: u64) -> Facts {
+fn local_state<P>(control: &Control<P>, now_ms: u64) -> LocalState {
     let own = control.own_lease.get();
-    let told = control.relayed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_TOLD_MS);
-    let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
+    let forwarded =
+        control.relayed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
+    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(lease, _)| lease.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
         (limits.told(now_ms), limits.newest_stamp())
     };
-    Facts {
+    LocalState {
         age_ms: control.shared.time.age_ms(),
         unix_ms: control.shared.time.unix_ms(),
         config_version: control.config_version(),
         directory_revision: control.directory.borrow().revision(),
         has_store: control.is_store_available(),
-        holds_duties: own.is_some_and(|(told, _)| told.left_ms > 0 && !told.is_over),
+        holds_duties: own.is_some_and(|(lease, _)| lease.left_ms > 0 && !lease.is_over),
         is_stopping: control.shared.is_draining(),
-        lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
+        lease: newest.map(|(lease, at_ms)| lease.after(now_ms - at_ms)),
         gate: control.shared.gate.ages(now_ms),
         evacuations: control.evacuations.borrow().snapshot(now_ms),
         limits,
@@ -89,23 +90,23 @@
     }
 }
 
-/// Sends this entry's counts to those who keep them. Gives the pause until the next time.
+/// Sends this entry's counts to the entries that store them. Returns the time until the next sending in ms.
 fn send_counts<P>(control: &Control<P>, now_ms: u64) -> u64 {
     let shared = &control.shared;
     shared.forget_old_counts();
     let own = control.own_counts();
-    let (keepers, entries) = {
+    let (receivers, entries) = {
         let peers = &control.exchange.borrow().peers;
-        let mut keepers: Vec<SocketAddr> = peers.holder(now_ms).into_iter().collect();
-        for addr in peers.next_in_line(KEEPERS, now_ms) {
-            if keepers.len() < KEEPERS && !keepers.contains(&addr) {
-                keepers.push(addr);
+        let mut receivers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+        for addr in peers.duty_successors(COUNT_RECEIVERS, now_ms) {
+            if receivers.len() < COUNT_RECEIVERS && !receivers.contains(&addr) {
+                receivers.push(addr);
             }
         }
-        (keepers, 1 + peers.live(now_ms))
+        (receivers, 1 + peers.live_count(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.batches(&keepers, &own, shared.counted_until_ms()) {
+    for (addr, counts) in outbox.batches(&receivers, &own, shared.counted_until_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
@@ -119,21 +120,27 @@
 fn update_entries<P>(control: &Control<P>, now_ms: u64) {
     let mut exchange = control.exchange.borrow_mut();
     let peers = &mut exchange.peers;
-    peers.forget(now_ms);
-    let sharing = peers.sharing(now_ms);
+    peers.remove_expired(now_ms);
+    let sharing = peers.budget_sharers(now_ms);
     control.shared.live_entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
     let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
     control.shared.retry_budget_divisor.store(sharing, Ordering::Relaxed);
-    control.shared.serving_peers.store(peers.serving(now_ms), Ordering::Relaxed);
+    control.shared.serving_peers.store(peers.serving_count(now_ms), Ordering::Relaxed);
     let snapshot = control.shared.snapshot.load();
     let limited = control.shared.limits().count();
     let leaving = {
         let departures = control.shared.departures();
         snapshot.directory.endpoints().iter().filter(|one| departures.contains(one)).count()
     };
-    measures::known(&snapshot, limited, leaving, peers.live(now_ms), control.holds_duties.get());
+    measures::known(
+        &snapshot,
+        limited,
+        leaving,
+        peers.live_count(now_ms),
+        control.holds_duties.get(),
+    );
 }
 
 fn send_all<P>(control: &Control<P>, outgoing: Vec<Outgoing>) {
@@ -141,47 +148,47 @@
         let bytes = match seal::datagram(&control.secret, &one.message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                slog::warn!(control.log, "peers not told"; "reason" => error.to_string(),
+                slog::warn!(control.log, "message to peers not sent"; "reason" => error.to_string(),
                     "message" => one.message.kind());
                 continue;
             }
         };
         measures::told(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
         for addr in one.to {
-            // A datagram that does not leave is like one that was lost: the next one repairs it.
+            // A failed send is treated like a lost datagram: a later message makes up for it.
             let _ = control.socket.try_send_to(&bytes, addr);
         }
     }
 }
 
-/// Receives for as long as the process lives.
-pub(in crate::gateway) async fn receive<P: Platform + 'static>(control: Rc<Control<P>>) {
+/// Receives messages from the other entries until the process ends.
+pub(in crate::gateway) async fn run_receiver<P: Platform + 'static>(control: Rc<Control<P>>) {
     let mut buffer = vec![0; seal::MAX_DATAGRAM_BYTES + 1];
     loop {
         let Ok((count, _)) = control.socket.recv_from(&mut buffer).await else {
             continue;
         };
         match seal::open_datagram::<Message>(&control.secret, &buffer[..count]) {
-            Ok(message) => take(&control, message),
+            Ok(message) => handle(&control, message),
             Err(reject) => metric::count_reject(reject),
         }
     }
 }
 
-fn take<P: Platform + 'static>(control: &Rc<Control<P>>, message: Message) {
+fn handle<P: Platform + 'static>(control: &Rc<Control<P>>, message: Message) {
     let now_ms = control.now_ms();
     let shared = &control.shared;
     match message {
-        Message::State(state) => take_state(control, &state, now_ms),
+        Message::State(state) => handle_state(control, &state, now_ms),
         Message::Work(work) => {
-            control.exchange.borrow_mut().take_work(&work, &mut shared.load_table(), now_ms);
+            control.exchange.borrow_mut().handle_work(&work, &mut shared.load_table(), now_ms);
         }
         Message::Roster(roster) => {
-            let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
-            new.into_iter().for_each(|addr| note_peer(control, addr));
+            let new = control.exchange.borrow_mut().peers.merge_roster(&roster, now_ms);
+            new.into_iter().for_each(|addr| log_new_peer(control, addr));
         }
-        Message::Placed(placed) => {
-            control.exchange.borrow_mut().pass_on(placed.leg, &placed.parts);
+        Message::Placements(placed) => {
+            control.exchange.borrow_mut().forward(placed.hop, &placed.parts);
             let mut homes = shared.prefix_locations();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
@@ -190,60 +197,62 @@
         Message::Counts { from, counts } => {
             shared.tally().merge(counts.boot, &counts.counts);
             let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
-            let message = Message::CountsTaken {
+            let message = Message::CountsAck {
                 from: shared.settings.peer_addr(),
-                keeper: shared.boot,
+                receiver_boot: shared.boot,
                 receipt,
             };
             send_all(control, vec![Outgoing { to: vec![from], message }]);
         }
-        Message::CountsTaken { from, keeper, receipt } => {
-            control.outbox.borrow_mut().acknowledge(from, keeper, receipt);
+        Message::CountsAck { from, receiver_boot, receipt } => {
+            control.outbox.borrow_mut().acknowledge(from, receiver_boot, receipt);
         }
     }
 }
 
-fn note_peer<P>(control: &Control<P>, addr: SocketAddr) {
+fn log_new_peer<P>(control: &Control<P>, addr: SocketAddr) {
     slog::info!(control.log, "peer heard"; "peer" => addr.to_string());
 }
 
-fn take_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
+fn handle_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
     shared.gate.take(state.gate, now_ms);
     control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
-    if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
-        let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
+    if let Some(lease) = state.lease.filter(|lease| lease.boot != shared.boot) {
+        let newer = |(known, _): (lease::Told, u64)| known.version <= lease.version;
         if control.relayed_lease.get().is_none_or(newer) {
-            control.relayed_lease.set(Some((told, now_ms)));
-            control.received_lease.set(Some((told, now_ms)));
+            control.relayed_lease.set(Some((lease, now_ms)));
+            control.received_lease.set(Some((lease, now_ms)));
         }
     }
-    let facts = facts(control, now_ms);
-    let (is_new, answers) = control.exchange.borrow_mut().take_state(state, &facts, now_ms);
+    let local = local_state(control, now_ms);
+    let (is_new, answers) = control.exchange.borrow_mut().handle_state(state, &local, now_ms);
     if is_new {
-        note_peer(control, state.from);
+        log_new_peer(control, state.from);
     }
     send_all(control, answers);
     correct_time(control, state);
-    let offered = pulls::Offered {
+    let advertised = pulls::AdvertisedVersions {
         from: state.from,
         config_version: state.config_version,
         directory_revision: state.directory_revision,
     };
     let is_older = state.age_ms > shared.time.age_ms();
-    if is_older && control.remembered.borrow_mut().ask() {
-        task::spawn_local(pulls::pull_memory(Rc::clone(control), state.from));
+    if is_older && control.remembered.borrow_mut().try_begin() {
+        task::spawn_local(pulls::pull_soft_state(Rc::clone(control), state.from));
     }
-    // One that has just started lists all at the store itself, and would only get the same twice.
+    // An entry that has just started lists everything at the store itself and would receive it twice.
     let is_listing = control.topics_to_list.get() > 0 && control.is_store_available();
-    if !is_listing && offered.is_newer(control) && control.exchange.borrow_mut().peers.begin_pull()
+    if !is_listing
+        && advertised.is_newer(control)
+        && control.exchange.borrow_mut().peers.begin_pull()
     {
-        task::spawn_local(pulls::pull(Rc::clone(control), offered));
+        task::spawn_local(pulls::pull(Rc::clone(control), advertised));
     }
 }
 
-/// Sets the time of day by older peers while this process is young: it may have started in the
-/// middle of a jump of its instance's clock.
+/// Corrects the time of day by that of older peers while this process is young: it may have started during
+/// a jump of its instance's clock.
 fn correct_time<P>(control: &Control<P>, state: &State) {
     const YOUNG_MS: u64 = 5_000;
     let time = control.shared.time;
@@ -251,11 +260,11 @@
         return;
     }
     let peers = &mut control.exchange.borrow_mut().peers;
-    peers.beyond_ms.insert(state.from, state.unix_ms as i64 - time.unix_ms() as i64);
-    let mut beyond_ms: Vec<i64> = peers.beyond_ms.values().copied().collect();
-    if let Some(by_ms) = clock::correction_ms(&mut beyond_ms) {
+    peers.clock_offsets_ms.insert(state.from, state.unix_ms as i64 - time.unix_ms() as i64);
+    let mut offsets_ms: Vec<i64> = peers.clock_offsets_ms.values().copied().collect();
+    if let Some(by_ms) = clock::correction_ms(&mut offsets_ms) {
         time.shift_ms(by_ms);
-        peers.beyond_ms.clear();
+        peers.clock_offsets_ms.clear();
         slog::warn!(control.log, "time of day corrected"; "by_ms" => by_ms);
     }
 }
