--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -247,7 +247,7 @@
         let now_ms = self.now_ms();
         self.health.borrow_mut().heard(endpoint.key, now_ms);
         if let Some(load) = facts.load {
-            self.shared.book().take_report(endpoint.key, load.running + load.waiting, now_ms);
+            self.shared.book().record_report(endpoint.key, load.running + load.waiting, now_ms);
         }
         if let Some(wait_ms) = facts.retry_after_ms {
             self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -196,7 +196,7 @@
                 let before = ordered.count(&subject).unwrap_or(live);
                 let slots = endpoints.iter().map(|one| one.slots).max().unwrap_or(1);
                 let book = control.shared.book();
-                let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
+                let work = endpoints.iter().map(|one| book.work_at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
                 let seen = Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -226,7 +226,7 @@
         now_ms: u64,
         facts: &Facts,
         is_news: bool,
-        book: &mut load::Book,
+        book: &mut load::LoadTable,
         homes: &mut homes::Homes,
     ) -> Vec<Outgoing> {
         if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + LOST_MS {
@@ -246,7 +246,7 @@
         };
         self.see_keepers(now_ms);
         let is_handover = acts_since_ms.is_some_and(|since_ms| now_ms < since_ms + HANDOVER_MS);
-        book.set_told(role == Role::Member || is_handover);
+        book.set_aggregated(role == Role::Member || is_handover);
         book.sweep(now_ms);
         let mut out = Vec::new();
         self.tell_state(now_ms, facts, role, &mut out);
@@ -314,7 +314,7 @@
     }
 
     /// Takes part of a table of work.
-    pub fn take_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
+    pub fn take_work(&mut self, work: &Work, book: &mut load::LoadTable, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
                 if self.peers.is_before(work.from) {
@@ -327,6 +327,6 @@
             }
             load::Source::Entry(_) => {}
         }
-        book.take(work.source.clone(), work.origin, &work.rows, now_ms);
+        book.apply(work.source.clone(), work.origin, &work.rows, now_ms);
     }
 }
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -136,7 +136,7 @@
         &mut self,
         now_ms: u64,
         is_news: bool,
-        book: &mut load::Book,
+        book: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         let is_due = now_ms >= self.last.work_ms + WORK_MS;
@@ -145,7 +145,7 @@
         }
         let rows = book.rows();
         let is_old = now_ms >= self.last.work_ms + UNCHANGED_MS;
-        let news = book.take_news(MAX_ROWS);
+        let news = book.take_updates(MAX_ROWS);
         let tables = if !is_due {
             vec![load::Rows::update(news)]
         } else if rows != self.last_work || is_old {
@@ -179,16 +179,16 @@
         &mut self,
         now_ms: u64,
         is_handover: bool,
-        book: &mut load::Book,
+        book: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         if now_ms < self.last.round_ms + ROUND_MS {
             return;
         }
         self.last.round_ms = now_ms;
-        book.take_news(0);
+        book.take_updates(0);
         // Of this entry itself there is no table, so that this is all that is known.
-        let (_, sums) = book.table_for(self.own.boot, now_ms);
+        let (_, sums) = book.table_excluding(self.own.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
         self.zones_are_due |= is_changed;
@@ -206,7 +206,7 @@
         self.last.sums_ms = now_ms;
         self.last_sums = sums;
         for (addr, boot) in self.peers.members(now_ms) {
-            let (origin, rows) = book.table_for(boot, now_ms);
+            let (origin, rows) = book.table_excluding(boot, now_ms);
             let tables = load::Rows::split(&rows, MAX_ROWS);
             self.push_work(&[addr], &load::Source::Others, origin, tables, out);
         }
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -64,7 +64,7 @@
 /// What is known when a request is placed.
 #[derive(Debug)]
 pub struct Known<'a> {
-    pub book: &'a load::Book,
+    pub book: &'a load::LoadTable,
     pub homes: &'a homes::Homes,
     pub health: &'a health::Health,
     pub reading: &'a reading::Reading,
@@ -164,13 +164,13 @@
 
 /// Places that are taken at an engine, those included that others are expected to have taken unseen.
 fn filled(endpoint: &Endpoint, work: load::Work, known: &Known<'_>) -> u32 {
-    work.requests + known.book.unseen(endpoint.key, known.now_ms)
+    work.requests + known.book.expected_unreported(endpoint.key, known.now_ms)
 }
 
 /// Share of the engines at which a prompt gets a slot and begins to be read within a moment.
 fn free_share(candidates: &[&Endpoint], engine: &route::Engine, known: &Known<'_>) -> f64 {
     let is_free = |one: &&&Endpoint| {
-        let work = known.book.at(one.key, known.now_ms);
+        let work = known.book.work_at(one.key, known.now_ms);
         let place_ms = known.reading.place_ms(filled(one, work, known), engine.slots);
         place_ms + known.reading.ms(work.unread_tokens) <= gate::FREE_WAIT_MS
     };
@@ -208,7 +208,7 @@
     favourites: Favourites,
     known: &Known<'_>,
 ) -> Choice<'a> {
-    let work = known.book.at(endpoint.key, known.now_ms);
+    let work = known.book.work_at(endpoint.key, known.now_ms);
     let has_tokens = known.homes.known_tokens(endpoint.key, &prompt.parts, known.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
     let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
@@ -238,7 +238,7 @@
 }
 
 fn plain_choice<'a>(endpoint: &'a Endpoint, known: &Known<'_>) -> Choice<'a> {
-    let work = known.book.at(endpoint.key, known.now_ms);
+    let work = known.book.work_at(endpoint.key, known.now_ms);
     let answer_ms = known.health.answer_ms(endpoint.key).unwrap_or(PLAIN_MS);
     let rounds = f64::from(work.requests) / f64::from(endpoint.slots.max(1));
     let first_ms = answer_ms * (1.0 + rounds);
--- a/src/gateway/policy/load.rs
+++ b/src/gateway/policy/load.rs
@@ -110,13 +110,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Table {
+struct SourceTable {
     rows: HashMap<EndpointKey, Work>,
     at_ms: u64,
     origin: Origin,
 }
 
-impl Table {
+impl SourceTable {
     fn is_old(&self, now_ms: u64) -> bool {
         now_ms >= self.at_ms + TABLE_OLD_MS
     }
@@ -136,17 +136,17 @@
 
 /// Requests that were turned away lately, by service: demand that stands in no endpoint's queue.
 #[derive(Clone, Debug, Default)]
-pub struct TurnedAway {
+pub struct Rejections {
     at_ms: HashMap<CompactString, VecDeque<u64>>,
 }
 
-impl TurnedAway {
+impl Rejections {
     /// How long a request that was turned away counts; its caller comes back after about this.
     const RECENT_MS: u64 = 1_000;
     /// More than the slots of all endpoints that an operator orders at a time.
     const MAX_KEPT: usize = 4_096;
 
-    pub fn note(&mut self, service: &CompactString, now_ms: u64) {
+    pub fn record(&mut self, service: &CompactString, now_ms: u64) {
         let at_ms = self.at_ms.entry(service.clone()).or_default();
         if at_ms.len() >= Self::MAX_KEPT {
             at_ms.pop_front();
@@ -166,13 +166,13 @@
 
 /// Work under way, by endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct LoadTable {
     own: HashMap<EndpointKey, Work>,
     /// When this entry made its latest sends.
     latest: HashMap<EndpointKey, VecDeque<u64>>,
     /// Endpoints that have got work from here since the other entries were told last.
     untold: BTreeSet<EndpointKey>,
-    tables: HashMap<Source, Table>,
+    tables: HashMap<Source, SourceTable>,
     /// What the other entries have under way: the sum of the tables that count.
     others: HashMap<EndpointKey, Work>,
     /// When a table that counts was told last.
@@ -182,7 +182,7 @@
     reports: HashMap<EndpointKey, Report>,
 }
 
-impl Book {
+impl LoadTable {
     pub fn add(&mut self, endpoint: EndpointKey, work: Work, now_ms: u64) {
         *self.own.entry(endpoint).or_default() += work;
         self.untold.insert(endpoint);
@@ -210,7 +210,7 @@
     }
 
     /// The rows of endpoints that have got work since the last call, at most this many.
-    pub fn take_news(&mut self, most: usize) -> Vec<Row> {
+    pub fn take_updates(&mut self, most: usize) -> Vec<Row> {
         let untold = std::mem::take(&mut self.untold);
         let rows = untold.into_iter().filter_map(|endpoint| {
             let work = self.own.get(&endpoint).copied()?;
@@ -220,7 +220,7 @@
     }
 
     /// Takes part of a table.
-    pub fn take(&mut self, source: Source, origin: Origin, told: &Rows, now_ms: u64) {
+    pub fn apply(&mut self, source: Source, origin: Origin, told: &Rows, now_ms: u64) {
         let counts = self.counts(&source);
         if counts {
             self.others_ms = now_ms;
@@ -249,7 +249,7 @@
     }
 
     /// Goes by what an aggregator tells of all others, or by the tables of each.
-    pub fn set_told(&mut self, is_told: bool) {
+    pub fn set_aggregated(&mut self, is_told: bool) {
         if self.is_told != is_told {
             self.is_told = is_told;
             self.sum_others();
@@ -260,7 +260,7 @@
         self.is_told == (*source == Source::Others)
     }
 
-    fn counted(&self) -> impl Iterator<Item = &Table> {
+    fn counted(&self) -> impl Iterator<Item = &SourceTable> {
         let counted = self.tables.iter().filter(|(source, _)| self.counts(source));
         counted.map(|(_, table)| table)
     }
@@ -308,7 +308,7 @@
 
     /// The work of all entries but one, as far as this entry goes by the tables of each.
     #[must_use]
-    pub fn table_for(&self, peer: u64, now_ms: u64) -> (Origin, Vec<Row>) {
+    pub fn table_excluding(&self, peer: u64, now_ms: u64) -> (Origin, Vec<Row>) {
         let own_table = self.tables.get(&Source::Entry(peer));
         let (mut entries, mut ages_ms) = (1, 0);
         for table in self.counted() {
@@ -332,13 +332,13 @@
     }
 
     /// Takes what an endpoint said of its running and waiting requests.
-    pub fn take_report(&mut self, endpoint: EndpointKey, requests: u32, now_ms: u64) {
+    pub fn record_report(&mut self, endpoint: EndpointKey, requests: u32, now_ms: u64) {
         self.reports.insert(endpoint, Report { requests, at_ms: now_ms });
     }
 
     /// All work known to be under way at an endpoint.
     #[must_use]
-    pub fn at(&self, endpoint: EndpointKey, now_ms: u64) -> Work {
+    pub fn work_at(&self, endpoint: EndpointKey, now_ms: u64) -> Work {
         let own = self.own.get(&endpoint).copied().unwrap_or_default();
         let others = self.others.get(&endpoint).filter(|_| now_ms < self.others_ms + TABLE_OLD_MS);
         let mut work = own + others.copied().unwrap_or_default();
@@ -356,7 +356,7 @@
     /// A document that becomes popular at once is sent to its home by all entries, each of which sees
     /// free places there; without this they overfill it together, and what is less urgent is stopped.
     #[must_use]
-    pub fn unseen(&self, endpoint: EndpointKey, now_ms: u64) -> u32 {
+    pub fn expected_unreported(&self, endpoint: EndpointKey, now_ms: u64) -> u32 {
         let Some(latest) = self.latest.get(&endpoint) else {
             return 0;
         };
@@ -370,8 +370,9 @@
     /// Age of the oldest table that counts; zero where there are no other entries.
     #[must_use]
     pub fn age_ms(&self, now_ms: u64) -> u64 {
-        let age_ms =
-            |table: &Table| now_ms.saturating_sub(table.at_ms) + u64::from(table.origin.age_ms);
+        let age_ms = |table: &SourceTable| {
+            now_ms.saturating_sub(table.at_ms) + u64::from(table.origin.age_ms)
+        };
         self.counted().map(age_ms).max().unwrap_or(0)
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -175,7 +175,7 @@
                 )
             {
                 self.log_turned_away(job, &choice);
-                self.shared.turned_away().note(&job.service().name, now_ms);
+                self.shared.turned_away().record(&job.service().name, now_ms);
                 return Err(self.given_up(job, error::Kind::TooLate));
             }
             if job.has_arrived && !self.may_retry(job) {
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -80,8 +80,8 @@
     pub news: Notify,
     /// What the settings allow of retries; may change while the process runs.
     retries: Mutex<settings::Retries>,
-    book: Mutex<load::Book>,
-    turned_away: Mutex<load::TurnedAway>,
+    book: Mutex<load::LoadTable>,
+    turned_away: Mutex<load::Rejections>,
     limits: Mutex<limits::Limits>,
     departures: Mutex<departures::Departures>,
     homes: Mutex<homes::Homes>,
@@ -126,12 +126,12 @@
     }
 
     /// Work under way at the endpoints.
-    pub fn book(&self) -> MutexGuard<'_, load::Book> {
+    pub fn book(&self) -> MutexGuard<'_, load::LoadTable> {
         lock(&self.book)
     }
 
     /// Requests turned away lately.
-    pub fn turned_away(&self) -> MutexGuard<'_, load::TurnedAway> {
+    pub fn turned_away(&self) -> MutexGuard<'_, load::Rejections> {
         lock(&self.turned_away)
     }
 
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -37,7 +37,7 @@
 /// What one entry knows.
 #[derive(Default)]
 struct Entry {
-    book: load::Book,
+    book: load::LoadTable,
     homes: homes::Homes,
     health: health::Health,
     reading: reading::Reading,
@@ -103,10 +103,10 @@
 }
 
 /// One start of another entry tells of all its work.
-fn tell(book: &mut load::Book, peer: u64, rows: Vec<load::Row>, now_ms: u64) {
+fn tell(book: &mut load::LoadTable, peer: u64, rows: Vec<load::Row>, now_ms: u64) {
     let origin = load::Origin { entries: 1, age_ms: 0 };
     let rows = load::Rows { part: 0, parts: 1, rows };
-    book.take(load::Source::Entry(peer), origin, &rows, now_ms);
+    book.apply(load::Source::Entry(peer), origin, &rows, now_ms);
 }
 
 fn work(unread_tokens: u64) -> load::Work {
@@ -346,7 +346,7 @@
     let row = load::Row { endpoint: endpoints[0].key, work: work(50_000) };
     tell(&mut entry.book, 77, vec![row], NOW_MS);
     assert_eq!(entry.choose(&endpoints, &question(1), &mut random), endpoints[1].key);
-    assert_eq!(entry.book.at(endpoints[0].key, NOW_MS + 60_000), load::Work::default());
+    assert_eq!(entry.book.work_at(endpoints[0].key, NOW_MS + 60_000), load::Work::default());
 }
 
 #[test]
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -90,7 +90,7 @@
                 for endpoint in 0..ENDPOINTS {
                     let living = fleet.nodes.iter().enumerate().filter(|(_, one)| !one.is_silent);
                     let expected = living.filter(|(index, _)| (index + endpoint) % 7 == 0).count();
-                    let known = node.book.at(key(endpoint), fleet.now_ms).requests as usize;
+                    let known = node.book.work_at(key(endpoint), fleet.now_ms).requests as usize;
                     let role = node.exchange.role(fleet.now_ms);
                     assert_eq!(
                         known, expected,
