--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -130,7 +130,7 @@
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().note(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
-            self.shared.homes().place(endpoint.key, &prompt.parts, now_ms);
+            self.shared.homes().record_sent(endpoint.key, &prompt.parts, now_ms);
             if is_news(choice) {
                 self.shared.news.notify_one();
             }
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -323,7 +323,7 @@
         for endpoint in directory.endpoints() {
             let old = before.find(endpoint.key);
             if old.is_some_and(|old| old.started_unix_ms != endpoint.started_unix_ms) {
-                self.shared.homes().forget(endpoint.key);
+                self.shared.homes().remove_endpoint(endpoint.key);
             }
             if old.is_none_or(|old| old != endpoint) {
                 slog::info!(self.log, "endpoint known"; "endpoint" => endpoint.id.as_str(),
@@ -342,7 +342,7 @@
                 "revision" => directory.revision(), "source" => source);
         }
         for old in before.endpoints().iter().filter(|old| directory.find(old.key).is_none()) {
-            self.shared.homes().forget(old.key);
+            self.shared.homes().remove_endpoint(old.key);
             slog::info!(self.log, "endpoint gone"; "endpoint" => old.id.as_str(),
                 "revision" => directory.revision(), "source" => source);
         }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -183,7 +183,7 @@
         Message::Placed(placed) => {
             control.exchange.borrow_mut().pass_on(placed.leg, &placed.parts);
             let mut homes = shared.homes();
-            placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
+            placed.parts.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
         }
         Message::Limits(limits) => control.take_limits(&limits, now_ms),
         Message::Departures(departures) => control.take_departures(&departures, now_ms),
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::fleet::message::{Message, State, Work};
 use crate::gateway::fleet::peers::Peers;
-use crate::gateway::policy::{gate, homes, limits, load, warmup};
+use crate::gateway::policy::{gate, limits, load, prefix_index, warmup};
 use crate::gateway::{departures, directory, evacuation};
 use crate::lease;
 
@@ -148,8 +148,8 @@
     /// Sums have changed since the other zones were told.
     zones_are_due: bool,
     /// Parts to pass on to the own zone, and to other zones.
-    to_zone: Vec<homes::Placed>,
-    to_zones: Vec<homes::Placed>,
+    to_zone: Vec<prefix_index::Placement>,
+    to_zones: Vec<prefix_index::Placement>,
 }
 
 impl Exchange {
@@ -227,7 +227,7 @@
         facts: &Facts,
         is_news: bool,
         book: &mut load::LoadTable,
-        homes: &mut homes::Homes,
+        homes: &mut prefix_index::PrefixIndex,
     ) -> Vec<Outgoing> {
         if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + LOST_MS {
             self.rejoins_until_ms = now_ms + REJOIN_MS;
--- a/src/gateway/fleet/exchange/telling.rs
+++ b/src/gateway/fleet/exchange/telling.rs
@@ -5,7 +5,7 @@
 use super::{Exchange, Facts, LOST_MS, Outgoing, Role};
 use crate::gateway::fleet::message::{Leg, Message, Placed, State, Work};
 use crate::gateway::fleet::peers::{Scope, roster};
-use crate::gateway::policy::{homes, load};
+use crate::gateway::policy::{load, prefix_index};
 
 /// How often an entry tells of its work while that changes.
 const WORK_MS: u64 = 100;
@@ -231,9 +231,9 @@
     }
 
     /// Queues the prompt parts that an aggregator has placed itself.
-    pub(super) fn queue_placed(&mut self, homes: &mut homes::Homes) {
+    pub(super) fn queue_placed(&mut self, homes: &mut prefix_index::PrefixIndex) {
         for _ in 0..MAX_PLACED_MESSAGES {
-            let placed = homes.take_untold(MAX_PLACED);
+            let placed = homes.take_unsent(MAX_PLACED);
             if placed.is_empty() {
                 return;
             }
@@ -244,7 +244,7 @@
     pub(super) fn tell_placed(
         &self,
         role: Role,
-        homes: &mut homes::Homes,
+        homes: &mut prefix_index::PrefixIndex,
         out: &mut Vec<Outgoing>,
     ) {
         let acting = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
@@ -253,7 +253,7 @@
             None => (Leg::Last, self.peers.by_lot()),
         };
         for _ in 0..MAX_PLACED_MESSAGES {
-            let parts = homes.take_untold(MAX_PLACED);
+            let parts = homes.take_unsent(MAX_PLACED);
             if parts.is_empty() {
                 return;
             }
@@ -263,8 +263,8 @@
     }
 
     /// Queues prompt parts for those that have to hear of them from here.
-    pub fn pass_on(&mut self, leg: Leg, parts: &[homes::Placed]) {
-        let queue = |queue: &mut Vec<homes::Placed>| {
+    pub fn pass_on(&mut self, leg: Leg, parts: &[prefix_index::Placement]) {
+        let queue = |queue: &mut Vec<prefix_index::Placement>| {
             queue.extend_from_slice(parts);
             let excess = queue.len().saturating_sub(MAX_WAITING);
             queue.drain(..excess);
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::duties::{delivery, tally};
 use crate::gateway::fleet::peers::{self, roster};
-use crate::gateway::policy::{gate, homes, limits, load};
+use crate::gateway::policy::{gate, limits, load, prefix_index};
 use crate::gateway::{departures, evacuation};
 use crate::lease;
 
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placed {
     pub leg: Leg,
-    pub parts: Vec<homes::Placed>,
+    pub parts: Vec<prefix_index::Placement>,
 }
 
 /// A datagram between entries.
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::control::{Control, Platform};
 use crate::gateway::duties::tally;
-use crate::gateway::policy::homes;
+use crate::gateway::policy::prefix_index;
 use crate::gateway::{directory, route};
 use crate::seal;
 
@@ -49,7 +49,7 @@
 /// have ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Memory {
-    placed: Vec<homes::Placed>,
+    placed: Vec<prefix_index::Placement>,
     counts: BTreeMap<u64, tally::Counts>,
 }
 
@@ -196,7 +196,7 @@
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
         "parts" => memory.placed.len(), "starts" => memory.counts.len());
     let mut homes = control.shared.homes();
-    memory.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
+    memory.placed.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
     control.shared.tally().take_saved(memory.counts);
 }
 
@@ -261,7 +261,7 @@
     let placed = match recall {
         Recall::Nothing => return None,
         Recall::Counts => Vec::new(),
-        Recall::All => control.shared.homes().latest(MAX_PLACED),
+        Recall::All => control.shared.homes().most_recent(MAX_PLACED),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
     Some(Memory { placed, counts })
--- a/src/gateway/fleet/recall.rs
+++ b/src/gateway/fleet/recall.rs
@@ -55,6 +55,6 @@
         parts.into_iter().partition(|part| part.tokens >= LEAST_TOLD_TOKENS);
     let now_ms = control.now_ms();
     let mut homes = control.shared.homes();
-    homes.place(engine.key, &large, now_ms);
-    homes.recall(engine.key, &small, now_ms);
+    homes.record_sent(engine.key, &large, now_ms);
+    homes.record_cached(engine.key, &small, now_ms);
 }
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3;
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::policy::{gate, health, homes, load, pauses, reading};
+use crate::gateway::policy::{gate, health, load, pauses, prefix_index, reading};
 use crate::gateway::request::{Part, Prompt};
 use crate::gateway::route;
 
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Known<'a> {
     pub book: &'a load::LoadTable,
-    pub homes: &'a homes::Homes,
+    pub homes: &'a prefix_index::PrefixIndex,
     pub health: &'a health::Health,
     pub reading: &'a reading::Reading,
     pub pauses: &'a pauses::Pauses,
@@ -159,7 +159,7 @@
 
 fn has_document(endpoint: &Endpoint, prompt: &Prompt, known: &Known<'_>) -> bool {
     let document = prompt.shared().last();
-    document.is_some_and(|part| known.homes.has(endpoint.key, part.id, known.now_ms))
+    document.is_some_and(|part| known.homes.is_cached(endpoint.key, part.id, known.now_ms))
 }
 
 /// Places that are taken at an engine, those included that others are expected to have taken unseen.
@@ -184,7 +184,7 @@
 /// Where the last shared part belongs, if nobody has it who takes requests. The first would not do: a few first parts
 /// are common to hundreds of documents, which would all go to the same few endpoints.
 fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, known: &Known<'_>) -> Favourites {
-    let is_new = |part: &&Part| !known.homes.is_at_any(candidates, part.id, known.now_ms);
+    let is_new = |part: &&Part| !known.homes.is_cached_at_any(candidates, part.id, known.now_ms);
     let Some(part) = prompt.shared().last().filter(is_new) else {
         return [None; RENDEZVOUS_PARTS.len()];
     };
@@ -209,7 +209,7 @@
     known: &Known<'_>,
 ) -> Choice<'a> {
     let work = known.book.work_at(endpoint.key, known.now_ms);
-    let has_tokens = known.homes.known_tokens(endpoint.key, &prompt.parts, known.now_ms);
+    let has_tokens = known.homes.cached_tokens(endpoint.key, &prompt.parts, known.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
     let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
--- a/src/gateway/policy/homes.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -41,7 +41,7 @@
 
 /// A part that was sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct Placement {
     pub endpoint: EndpointKey,
     pub part: PartName,
 }
@@ -56,22 +56,22 @@
 
 /// Parts by where they are.
 #[derive(Clone, Debug, Default)]
-pub struct Homes {
+pub struct PrefixIndex {
     held: HashMap<u64, Vec<Held>>,
-    /// Placed here and not yet told to the other entries.
-    untold: VecDeque<Placed>,
+    /// Placement here and not yet told to the other entries.
+    untold: VecDeque<Placement>,
 }
 
-impl Homes {
+impl PrefixIndex {
     /// Notes that these parts were sent to an endpoint, by this entry.
-    pub fn place(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn record_sent(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
             let told_ms = self.told_ms(endpoint, part.id);
             if told_ms.is_none_or(|told_ms| now_ms >= told_ms + TELL_AGAIN_MS) {
                 if self.untold.len() >= MAX_UNTOLD {
                     self.untold.pop_front();
                 }
-                self.untold.push_back(Placed { endpoint, part: PartName::of(part.id) });
+                self.untold.push_back(Placement { endpoint, part: PartName::of(part.id) });
                 self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms: now_ms });
             } else {
                 let told_ms = told_ms.unwrap_or(now_ms);
@@ -81,26 +81,26 @@
     }
 
     /// Notes parts that an endpoint holds, without telling the other entries.
-    pub fn recall(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn record_cached(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
             self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms: now_ms });
         }
     }
 
     /// Notes what another entry has told.
-    pub fn note(&mut self, placed: Placed, now_ms: u64) {
+    pub fn record_remote(&mut self, placed: Placement, now_ms: u64) {
         let held = Held { endpoint: placed.endpoint, used_ms: now_ms, told_ms: now_ms };
         self.hold(placed.part.id(), held);
     }
 
     /// The parts that were used last, at most this many, for an entry that has just started.
     #[must_use]
-    pub fn latest(&self, most: usize) -> Vec<Placed> {
-        let mut all: Vec<(u64, Placed)> = Vec::new();
+    pub fn most_recent(&self, most: usize) -> Vec<Placement> {
+        let mut all: Vec<(u64, Placement)> = Vec::new();
         for (part, held) in &self.held {
             let part = PartName::of(*part);
             all.extend(
-                held.iter().map(|one| (one.used_ms, Placed { endpoint: one.endpoint, part })),
+                held.iter().map(|one| (one.used_ms, Placement { endpoint: one.endpoint, part })),
             );
         }
         all.sort_unstable_by_key(|(used_ms, _)| std::cmp::Reverse(*used_ms));
@@ -123,17 +123,17 @@
 
     /// Tokens at the start of a prompt that an endpoint has already.
     #[must_use]
-    pub fn known_tokens(&self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) -> u32 {
+    pub fn cached_tokens(&self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) -> u32 {
         parts
             .iter()
-            .take_while(|part| self.has(endpoint, part.id, now_ms))
+            .take_while(|part| self.is_cached(endpoint, part.id, now_ms))
             .map(|part| part.tokens)
             .sum()
     }
 
     /// Whether any of these endpoints has the part.
     #[must_use]
-    pub fn is_at_any(&self, endpoints: &[&Endpoint], part: u64, now_ms: u64) -> bool {
+    pub fn is_cached_at_any(&self, endpoints: &[&Endpoint], part: u64, now_ms: u64) -> bool {
         let fresh = |one: &&Held| now_ms < one.used_ms + STAYS_MS;
         let mut held = self.held.get(&part).into_iter().flatten().filter(fresh);
         held.any(|one| endpoints.iter().any(|endpoint| endpoint.key == one.endpoint))
@@ -141,7 +141,7 @@
 
     /// Whether an endpoint has the part.
     #[must_use]
-    pub fn has(&self, endpoint: EndpointKey, part: u64, now_ms: u64) -> bool {
+    pub fn is_cached(&self, endpoint: EndpointKey, part: u64, now_ms: u64) -> bool {
         let held = self.held.get(&part);
         held.is_some_and(|held| {
             held.iter().any(|one| one.endpoint == endpoint && now_ms < one.used_ms + STAYS_MS)
@@ -149,7 +149,7 @@
     }
 
     /// An endpoint has lost its memory.
-    pub fn forget(&mut self, endpoint: EndpointKey) {
+    pub fn remove_endpoint(&mut self, endpoint: EndpointKey) {
         for held in self.held.values_mut() {
             held.retain(|one| one.endpoint != endpoint);
         }
@@ -169,7 +169,7 @@
     }
 
     /// What the other entries have not been told yet, at most this many.
-    pub fn take_untold(&mut self, most: usize) -> Vec<Placed> {
+    pub fn take_unsent(&mut self, most: usize) -> Vec<Placement> {
         let count = self.untold.len().min(most);
         self.untold.drain(..count).collect()
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use super::duties::tally;
-use super::policy::{gate, homes, limits, load, reading, warmup};
+use super::policy::{gate, limits, load, prefix_index, reading, warmup};
 use super::{departures, directory, drain, evacuation, route, settings};
 use crate::clock;
 
@@ -84,7 +84,7 @@
     turned_away: Mutex<load::Rejections>,
     limits: Mutex<limits::Limits>,
     departures: Mutex<departures::Departures>,
-    homes: Mutex<homes::Homes>,
+    homes: Mutex<prefix_index::PrefixIndex>,
     tally: Mutex<tally::Tally>,
     /// When sends began whose requests may still be counted, on the boot clock.
     uncounted: Mutex<slab::Slab<u64>>,
@@ -146,7 +146,7 @@
     }
 
     /// Where prompt parts are.
-    pub fn homes(&self) -> MutexGuard<'_, homes::Homes> {
+    pub fn homes(&self) -> MutexGuard<'_, prefix_index::PrefixIndex> {
         lock(&self.homes)
     }
 
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -5,7 +5,7 @@
 
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
 use briarwinch::gateway::policy::choose::{self, Known};
-use briarwinch::gateway::policy::{health, homes, load, pauses, reading};
+use briarwinch::gateway::policy::{health, load, pauses, prefix_index, reading};
 use briarwinch::gateway::request::{Part, Prompt};
 use briarwinch::gateway::route;
 use compact_str::CompactString;
@@ -38,7 +38,7 @@
 #[derive(Default)]
 struct Entry {
     book: load::LoadTable,
-    homes: homes::Homes,
+    homes: prefix_index::PrefixIndex,
     health: health::Health,
     reading: reading::Reading,
     pauses: pauses::Pauses,
@@ -164,7 +164,7 @@
     let endpoints = endpoints(40);
     let mut entry = Entry::default();
     let mut random = StdRng::seed_from_u64(6);
-    entry.homes.place(endpoints[3].key, &draft(0).parts, NOW_MS);
+    entry.homes.record_sent(endpoints[3].key, &draft(0).parts, NOW_MS);
     entry.book.add(endpoints[3].key, work(20_000), NOW_MS);
     let placed: Vec<EndpointKey> =
         (1..60).map(|document| entry.choose(&endpoints, &draft(document), &mut random)).collect();
@@ -180,7 +180,7 @@
     let endpoints = endpoints(40);
     let mut entry = Entry::default();
     let mut random = StdRng::seed_from_u64(8);
-    entry.homes.place(endpoints[3].key, &draft(0).parts, NOW_MS);
+    entry.homes.record_sent(endpoints[3].key, &draft(0).parts, NOW_MS);
     entry.book.add(endpoints[3].key, work(60_000), NOW_MS);
     let known = Known { target_ms: 600.0, ..entry.known() };
     let chosen =
@@ -197,7 +197,7 @@
     let endpoints = endpoints(9);
     let mut random = StdRng::seed_from_u64(7);
     let mut entry = Entry::default();
-    entry.homes.place(endpoints[4].key, &summary(7, 1).parts, NOW_MS);
+    entry.homes.record_sent(endpoints[4].key, &summary(7, 1).parts, NOW_MS);
     entry.book.add(endpoints[4].key, work(300_000), NOW_MS);
     let chosen = entry.choose(&endpoints, &summary(7, 2), &mut random);
     assert_ne!(chosen, endpoints[4].key);
@@ -223,7 +223,7 @@
     let mut random = StdRng::seed_from_u64(2);
     let mut entry = Entry::default();
     let home = endpoints[4].key;
-    entry.homes.place(home, &summary(7, 1).parts, NOW_MS);
+    entry.homes.record_sent(home, &summary(7, 1).parts, NOW_MS);
     entry.book.add(home, work(60_000), NOW_MS);
     for session in 0..50 {
         assert_eq!(entry.choose(&endpoints, &summary(7, session), &mut random), home);
@@ -273,7 +273,7 @@
     for number in 0..ENTRIES {
         let mut random = StdRng::seed_from_u64(number);
         let mut entry = Entry::default();
-        entry.homes.place(home, &guide(0).parts[..1], NOW_MS);
+        entry.homes.record_sent(home, &guide(0).parts[..1], NOW_MS);
         for peer in 0..ENTRIES - 1 {
             let tells = |endpoint: &Endpoint| load::Row {
                 endpoint: endpoint.key,
@@ -421,7 +421,7 @@
 fn answers_are_not_sent_where_they_have_stuttered_lately() {
     let endpoints = endpoints(3);
     let mut entry = Entry::default();
-    entry.homes.place(endpoints[0].key, &question(0).parts, NOW_MS);
+    entry.homes.record_sent(endpoints[0].key, &question(0).parts, NOW_MS);
     for endpoint in &endpoints {
         let longest_ms = if endpoint.key == endpoints[0].key { 130 } else { 100 };
         (0..6).for_each(|_| entry.pauses.ended(endpoint.key, 90, longest_ms, NOW_MS - 500));
@@ -461,19 +461,20 @@
 #[test]
 fn parts_are_told_once_and_forgotten_with_their_endpoint() {
     let endpoints = endpoints(2);
-    let (mut here, mut there) = (homes::Homes::default(), homes::Homes::default());
+    let (mut here, mut there) =
+        (prefix_index::PrefixIndex::default(), prefix_index::PrefixIndex::default());
     let parts = summary(7, 1).parts;
-    here.place(endpoints[0].key, &parts, NOW_MS);
-    here.place(endpoints[0].key, &parts, NOW_MS + 100);
-    let told = here.take_untold(100);
+    here.record_sent(endpoints[0].key, &parts, NOW_MS);
+    here.record_sent(endpoints[0].key, &parts, NOW_MS + 100);
+    let told = here.take_unsent(100);
     assert_eq!(told.len(), 2, "one line for each part");
-    told.into_iter().for_each(|placed| there.note(placed, NOW_MS));
-    assert_eq!(there.known_tokens(endpoints[0].key, &parts, NOW_MS), 17_000);
-    assert_eq!(there.known_tokens(endpoints[1].key, &parts, NOW_MS), 0);
-    there.forget(endpoints[0].key);
-    assert_eq!(there.known_tokens(endpoints[0].key, &parts, NOW_MS), 0);
-    here.place(endpoints[0].key, &parts, NOW_MS + 30_000);
-    assert_eq!(here.take_untold(100).len(), 2, "told again before the others forget");
+    told.into_iter().for_each(|placed| there.record_remote(placed, NOW_MS));
+    assert_eq!(there.cached_tokens(endpoints[0].key, &parts, NOW_MS), 17_000);
+    assert_eq!(there.cached_tokens(endpoints[1].key, &parts, NOW_MS), 0);
+    there.remove_endpoint(endpoints[0].key);
+    assert_eq!(there.cached_tokens(endpoints[0].key, &parts, NOW_MS), 0);
+    here.record_sent(endpoints[0].key, &parts, NOW_MS + 30_000);
+    assert_eq!(here.take_unsent(100).len(), 2, "told again before the others forget");
 }
 
 /// A fleet so large that parts are placed faster than they can be told. The list must not grow until
@@ -481,12 +482,12 @@
 #[test]
 fn parts_that_wait_to_be_told_are_bounded() {
     let endpoints = endpoints(1);
-    let mut homes = homes::Homes::default();
+    let mut homes = prefix_index::PrefixIndex::default();
     for part in 0..10_000 {
-        homes.place(endpoints[0].key, &[Part { id: part, tokens: 10 }], NOW_MS);
+        homes.record_sent(endpoints[0].key, &[Part { id: part, tokens: 10 }], NOW_MS);
     }
-    let told = homes.take_untold(usize::MAX);
+    let told = homes.take_unsent(usize::MAX);
     assert!(told.len() <= 2_000, "{}", told.len());
     let first = [Part { id: 0, tokens: 10 }];
-    assert_eq!(homes.known_tokens(endpoints[0].key, &first, NOW_MS), 10, "it is still known here");
+    assert_eq!(homes.cached_tokens(endpoints[0].key, &first, NOW_MS), 10, "it is still known here");
 }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -120,13 +120,13 @@
         fleet.run_ms(500);
         for index in 0..entries {
             let part = Part { id: index as u64, tokens: 3_000 };
-            fleet.nodes[index].homes.place(key(index), &[part], fleet.now_ms);
+            fleet.nodes[index].homes.record_sent(key(index), &[part], fleet.now_ms);
         }
         fleet.run_ms(300);
         for node in &fleet.nodes {
             let is_missing = |index: &usize| {
                 let part = Part { id: *index as u64, tokens: 3_000 };
-                node.homes.known_tokens(key(*index), &[part], fleet.now_ms) == 0
+                node.homes.cached_tokens(key(*index), &[part], fleet.now_ms) == 0
             };
             assert_eq!((0..entries).filter(is_missing).count(), 0, "{entries} entries");
         }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -9,7 +9,7 @@
 use briarwinch::gateway::fleet::exchange::{Exchange, Facts, Outgoing, Own};
 use briarwinch::gateway::fleet::message::Message;
 use briarwinch::gateway::fleet::peers::Peers;
-use briarwinch::gateway::policy::{gate, homes, limits, load};
+use briarwinch::gateway::policy::{gate, limits, load, prefix_index};
 use briarwinch::gateway::settings;
 use briarwinch::gateway::{departures, evacuation};
 use proptest::prelude::*;
@@ -32,7 +32,7 @@
     pub boot: u64,
     pub exchange: Exchange,
     pub book: load::LoadTable,
-    pub homes: homes::Homes,
+    pub homes: prefix_index::PrefixIndex,
     pub limits: limits::Limits,
     pub departures: departures::Departures,
     pub tally: Tally,
@@ -141,7 +141,7 @@
             boot,
             exchange: Exchange::new(own, Peers::new(&settings, now_ms), now_ms),
             book: load::LoadTable::default(),
-            homes: homes::Homes::default(),
+            homes: prefix_index::PrefixIndex::default(),
             limits: limits::Limits::default(),
             departures: departures::Departures::default(),
             tally: Tally::default(),
@@ -236,7 +236,7 @@
             }
             Message::Placed(placed) => {
                 node.exchange.pass_on(placed.leg, &placed.parts);
-                placed.parts.into_iter().for_each(|one| node.homes.note(one, now_ms));
+                placed.parts.into_iter().for_each(|one| node.homes.record_remote(one, now_ms));
             }
             Message::Limits(limits) => {
                 for told in limits {
