--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -15,7 +15,7 @@
 
 use crate::gateway::control::{Control, Holder, Platform};
 use crate::gateway::duties::duty;
-use crate::gateway::policy::{load, reading};
+use crate::gateway::policy::{load, prefill};
 use crate::gateway::{directory, route};
 use crate::scaling::{Plan, Planner, Seen};
 use crate::store::Condition;
@@ -48,8 +48,8 @@
 
 /// Slots' worth of work at an endpoint: requests under way, or the prompts that wait there.
 #[must_use]
-pub fn busy_slots(work: load::Work, slots: u32, reading: &reading::Reading) -> f64 {
-    let read = reading.ms(work.unread_tokens) / BUSY_WAIT_MS * f64::from(slots);
+pub fn busy_slots(work: load::Work, slots: u32, reading: &prefill::PrefillModel) -> f64 {
+    let read = reading.prefill_ms(work.unread_tokens) / BUSY_WAIT_MS * f64::from(slots);
     f64::from(work.requests).max(read)
 }
 
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3;
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::policy::{gate, health, load, pauses, prefix_index, reading};
+use crate::gateway::policy::{gate, health, load, pauses, prefill, prefix_index};
 use crate::gateway::request::{Part, Prompt};
 use crate::gateway::route;
 
@@ -67,7 +67,7 @@
     pub book: &'a load::LoadTable,
     pub homes: &'a prefix_index::PrefixIndex,
     pub health: &'a health::Health,
-    pub reading: &'a reading::Reading,
+    pub reading: &'a prefill::PrefillModel,
     pub pauses: &'a pauses::Pauses,
     /// Longest pause between events that is in time for the caller; zero where it does not matter.
     pub pause_ms: u32,
@@ -171,8 +171,8 @@
 fn free_share(candidates: &[&Endpoint], engine: &route::Engine, known: &Known<'_>) -> f64 {
     let is_free = |one: &&&Endpoint| {
         let work = known.book.work_at(one.key, known.now_ms);
-        let place_ms = known.reading.place_ms(filled(one, work, known), engine.slots);
-        place_ms + known.reading.ms(work.unread_tokens) <= gate::FREE_WAIT_MS
+        let place_ms = known.reading.slot_wait_ms(filled(one, work, known), engine.slots);
+        place_ms + known.reading.prefill_ms(work.unread_tokens) <= gate::FREE_WAIT_MS
     };
     let free = candidates.iter().filter(is_free).count();
     free as f64 / candidates.len().max(1) as f64
@@ -214,11 +214,12 @@
     let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
     let document_tokens = prompt.shared().last().map_or(0, |part| part.tokens).min(missing_tokens);
-    let document_ms = known.reading.ms(u64::from(document_tokens));
-    let beginning_ms = known.reading.ms(u64::from(missing_tokens - document_tokens));
+    let document_ms = known.reading.prefill_ms(u64::from(document_tokens));
+    let beginning_ms = known.reading.prefill_ms(u64::from(missing_tokens - document_tokens));
     let crowd_ms = f64::from(work.requests) * CROWD_MS
-        + known.reading.place_ms(filled(endpoint, work, known), engine.slots);
-    let first_ms = known.reading.first_ms(work.unread_tokens + u64::from(unread_tokens)) + crowd_ms;
+        + known.reading.slot_wait_ms(filled(endpoint, work, known), engine.slots);
+    let first_ms =
+        known.reading.first_event_ms(work.unread_tokens + u64::from(unread_tokens)) + crowd_ms;
     let lost_ms = (first_ms - known.patience_ms * PATIENCE_PART).max(0.0);
     let late_ms = (first_ms - known.target_ms * LATE_PART).max(0.0);
     let mut cost_ms = first_ms
--- a/src/gateway/policy/mod.rs
+++ b/src/gateway/policy/mod.rs
@@ -10,6 +10,6 @@
 pub mod load;
 pub mod outage;
 pub mod pauses;
+pub mod prefill;
 pub mod prefix_index;
-pub mod reading;
 pub mod warmup;
--- a/src/gateway/policy/reading.rs
+++ b/src/gateway/policy/prefill.rs
@@ -26,16 +26,16 @@
 /// Weight of the newest run in the means of runs.
 const NEWEST_RUN: f64 = 0.02;
 
-/// Reading speed of the engines of one service, and how long requests run there.
+/// PrefillModel speed of the engines of one service, and how long requests run there.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct PrefillModel {
     tokens_ms: f64,
     tokens_squared: f64,
     run_ms: f64,
     ms_per_output_token: f64,
 }
 
-impl Default for Reading {
+impl Default for PrefillModel {
     fn default() -> Self {
         Self {
             tokens_ms: FIRST_MS_PER_TOKEN * FIRST_WEIGHT,
@@ -46,9 +46,9 @@
     }
 }
 
-impl Reading {
+impl PrefillModel {
     /// A first event came after this time, with so many tokens to read before it.
-    pub fn learn(&mut self, tokens: u64, took_ms: u64) {
+    pub fn observe_first_event(&mut self, tokens: u64, took_ms: u64) {
         let (tokens, took_ms) = (tokens as f64, took_ms as f64 - BASE_MS);
         if tokens < LEAST_TOKENS || took_ms <= 0.0 || took_ms > tokens * MOST_MS_PER_TOKEN {
             return;
@@ -59,7 +59,7 @@
 
     /// A request with so many output tokens at most has run to its end, from its first event on, for
     /// this time.
-    pub fn learn_run(&mut self, output_tokens: u32, ran_ms: u64) {
+    pub fn observe_run(&mut self, output_tokens: u32, ran_ms: u64) {
         let ran_ms = ran_ms as f64;
         self.run_ms += (ran_ms - self.run_ms) * NEWEST_RUN;
         if output_tokens > 0 {
@@ -77,20 +77,20 @@
     /// How long one more request waits for a place at an engine that runs so many in its slots, of which
     /// some are spared.
     #[must_use]
-    pub fn place_ms(&self, requests: u32, slots: u32) -> f64 {
+    pub fn slot_wait_ms(&self, requests: u32, slots: u32) -> f64 {
         let over = (requests + 1).saturating_sub(slots - slots / SPARE_ONE_IN);
         f64::from(over) * self.run_ms / f64::from(slots.max(1))
     }
 
     /// Time to read so many tokens.
     #[must_use]
-    pub fn ms(&self, tokens: u64) -> f64 {
+    pub fn prefill_ms(&self, tokens: u64) -> f64 {
         tokens as f64 * self.tokens_ms / self.tokens_squared
     }
 
     /// Time to a first event with so many tokens to read before it.
     #[must_use]
-    pub fn first_ms(&self, tokens: u64) -> f64 {
-        BASE_MS + self.ms(tokens)
+    pub fn first_event_ms(&self, tokens: u64) -> f64 {
+        BASE_MS + self.prefill_ms(tokens)
     }
 }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use super::duties::tally;
-use super::policy::{gate, limits, load, prefix_index, reading, warmup};
+use super::policy::{gate, limits, load, prefill, prefix_index, warmup};
 use super::{departures, directory, drain, evacuation, route, settings};
 use crate::clock;
 
@@ -89,7 +89,7 @@
     /// When sends began whose requests may still be counted, on the boot clock.
     uncounted: Mutex<slab::Slab<u64>>,
     /// How fast the engines of each service read.
-    readings: Mutex<HashMap<CompactString, reading::Reading>>,
+    readings: Mutex<HashMap<CompactString, prefill::PrefillModel>>,
 }
 
 impl Shared {
@@ -162,18 +162,21 @@
 
     /// How fast the engines of a service read, as far as this entry has seen.
     #[must_use]
-    pub fn reading(&self, service: &str) -> reading::Reading {
+    pub fn reading(&self, service: &str) -> prefill::PrefillModel {
         lock(&self.readings).get(service).copied().unwrap_or_default()
     }
 
     /// Learns from an answer: so many tokens were to be read before its first event.
     pub fn learn_reading(&self, service: &CompactString, tokens: u64, took_ms: u64) {
-        lock(&self.readings).entry(service.clone()).or_default().learn(tokens, took_ms);
+        lock(&self.readings)
+            .entry(service.clone())
+            .or_default()
+            .observe_first_event(tokens, took_ms);
     }
 
     /// Learns from a stream that came to its end how long requests run.
     pub fn learn_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
-        lock(&self.readings).entry(service.clone()).or_default().learn_run(output_tokens, ran_ms);
+        lock(&self.readings).entry(service.clone()).or_default().observe_run(output_tokens, ran_ms);
     }
 
     /// Length of a billing window.
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -5,7 +5,7 @@
 
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
 use briarwinch::gateway::policy::choose::{self, Known};
-use briarwinch::gateway::policy::{health, load, pauses, prefix_index, reading};
+use briarwinch::gateway::policy::{health, load, pauses, prefill, prefix_index};
 use briarwinch::gateway::request::{Part, Prompt};
 use briarwinch::gateway::route;
 use compact_str::CompactString;
@@ -40,7 +40,7 @@
     book: load::LoadTable,
     homes: prefix_index::PrefixIndex,
     health: health::Health,
-    reading: reading::Reading,
+    reading: prefill::PrefillModel,
     pauses: pauses::Pauses,
 }
 
@@ -318,11 +318,11 @@
 
 #[test]
 fn a_place_beyond_the_slots_costs_the_runs_that_have_to_end_first() {
-    let mut reading = reading::Reading::default();
-    (0..400).for_each(|_| reading.learn_run(640, 6_400));
-    assert!(reading.place_ms(55, 64).abs() < 1e-9, "the last eighth is spared");
+    let mut reading = prefill::PrefillModel::default();
+    (0..400).for_each(|_| reading.observe_run(640, 6_400));
+    assert!(reading.slot_wait_ms(55, 64).abs() < 1e-9, "the last eighth is spared");
     assert!(reading.run_ms(640).abs_diff(6_400) < 50, "{}", reading.run_ms(640));
-    assert!((reading.place_ms(59, 64) - 400.0).abs() < 5.0, "{}", reading.place_ms(59, 64));
+    assert!((reading.slot_wait_ms(59, 64) - 400.0).abs() < 5.0, "{}", reading.slot_wait_ms(59, 64));
 }
 
 #[test]
@@ -448,14 +448,17 @@
 
 #[test]
 fn reading_speed_is_learned_from_answers() {
-    let mut reading = reading::Reading::default();
+    let mut reading = prefill::PrefillModel::default();
     for _ in 0..200 {
-        reading.learn(10_000, 50 + 300);
+        reading.observe_first_event(10_000, 50 + 300);
     }
-    assert!((reading.ms(10_000) - 300.0).abs() < 15.0, "{}", reading.ms(10_000));
-    let before = reading.ms(10_000);
-    reading.learn(10_000, 60_000);
-    assert!((reading.ms(10_000) - before).abs() < 1.0, "an engine that was stuck says nothing");
+    assert!((reading.prefill_ms(10_000) - 300.0).abs() < 15.0, "{}", reading.prefill_ms(10_000));
+    let before = reading.prefill_ms(10_000);
+    reading.observe_first_event(10_000, 60_000);
+    assert!(
+        (reading.prefill_ms(10_000) - before).abs() < 1.0,
+        "an engine that was stuck says nothing"
+    );
 }
 
 #[test]
