--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -209,7 +209,7 @@
 
 fn take_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
-    shared.gate.take(state.gate, now_ms);
+    shared.gate.merge_ages(state.gate, now_ms);
     control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -16,7 +16,7 @@
 
 use crate::gateway::fleet::message::{Message, State, Work};
 use crate::gateway::fleet::peers::Peers;
-use crate::gateway::policy::{gate, limits, load, prefix_index, warmup};
+use crate::gateway::policy::{admission, limits, load, prefix_index, warmup};
 use crate::gateway::{departures, directory, evacuation};
 use crate::lease;
 
@@ -45,7 +45,7 @@
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
-    pub gate: gate::Ages,
+    pub gate: admission::Ages,
     pub evacuations: evacuation::Told,
     pub limits: Vec<limits::Told>,
     /// The newest change of an endpoint's limit.
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::duties::{delivery, tally};
 use crate::gateway::fleet::peers::{self, roster};
-use crate::gateway::policy::{gate, limits, load, prefix_index};
+use crate::gateway::policy::{admission, limits, load, prefix_index};
 use crate::gateway::{departures, evacuation};
 use crate::lease;
 
@@ -35,7 +35,7 @@
     pub live: u16,
     /// The newest that is known of the lease of the duties, where its holder tells of it.
     pub lease: Option<lease::Told>,
-    pub gate: gate::Ages,
+    pub gate: admission::Ages,
     pub evacuations: evacuation::Told,
 }
 
--- a/src/gateway/policy/gate.rs
+++ b/src/gateway/policy/admission.rs
@@ -66,22 +66,22 @@
 
 /// The gate before the engines, with what it and the other entries' gates did lately.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct AdmissionControl {
     ranks: Mutex<[Rank; RANKS]>,
 }
 
-impl Gate {
+impl AdmissionControl {
     /// Whether a prompt is sent while this share of the engines is free.
     ///
     /// `priority` is the request's own, which its client account may have set. What is owed to a kind
     /// of request is owed by its route's priority.
-    pub fn passes(&self, priority: u8, route_priority: u8, free_share: f64, now_ms: u64) -> bool {
+    pub fn admit(&self, priority: u8, route_priority: u8, free_share: f64, now_ms: u64) -> bool {
         let rank = usize::from(priority).min(RANKS - 1);
         let kind = usize::from(route_priority).min(RANKS - 1);
         let mut ranks = self.ranks.lock().unwrap_or_else(PoisonError::into_inner);
         ranks[kind].roll(now_ms);
         ranks[kind].seen[0] += 1;
-        let is_admitted = admits(priority, free_share);
+        let is_admitted = has_capacity(priority, free_share);
         let lately = |at_ms: u64, within_ms: u64| at_ms > 0 && now_ms < at_ms + within_ms;
         let is_held_off =
             ranks[..rank].iter().any(|before| lately(before.turned_away_ms, HOLD_OFF_MS));
@@ -114,7 +114,7 @@
     }
 
     /// Takes what another entry told of itself.
-    pub fn take(&self, ages: Ages, now_ms: u64) {
+    pub fn merge_ages(&self, ages: Ages, now_ms: u64) {
         let mut ranks = self.ranks.lock().unwrap_or_else(PoisonError::into_inner);
         let at_ms = |age: u8| {
             if age == LONG_AGO { 0 } else { now_ms.saturating_sub(u64::from(age) * AGE_STEP_MS) }
@@ -139,7 +139,7 @@
 /// Whether a prompt of this rank (zero is the most urgent) is sent while this share of the engines
 /// is free, as far as the engines go.
 #[must_use]
-pub fn admits(priority: u8, free_share: f64) -> bool {
+pub fn has_capacity(priority: u8, free_share: f64) -> bool {
     match priority {
         0 => true,
         1 => free_share >= FREE_FOR_SECOND,
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -20,7 +20,7 @@
 use xxhash_rust::xxh3;
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::policy::{gate, health, load, pauses, prefill, prefix_index};
+use crate::gateway::policy::{admission, health, load, pauses, prefill, prefix_index};
 use crate::gateway::request::{Part, Prompt};
 use crate::gateway::route;
 
@@ -172,7 +172,7 @@
     let is_free = |one: &&&Endpoint| {
         let work = known.book.work_at(one.key, known.now_ms);
         let place_ms = known.reading.slot_wait_ms(filled(one, work, known), engine.slots);
-        place_ms + known.reading.prefill_ms(work.unread_tokens) <= gate::FREE_WAIT_MS
+        place_ms + known.reading.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
     };
     let free = candidates.iter().filter(is_free).count();
     free as f64 / candidates.len().max(1) as f64
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -167,7 +167,7 @@
             let is_first = !job.has_arrived && unsent == 0;
             if is_first
                 && job.request.prompt.is_some()
-                && !self.shared.gate.passes(
+                && !self.shared.gate.admit(
                     job.priority,
                     job.route().priority,
                     choice.free_share,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use super::duties::tally;
-use super::policy::{gate, limits, load, prefill, prefix_index, warmup};
+use super::policy::{admission, limits, load, prefill, prefix_index, warmup};
 use super::{departures, directory, drain, evacuation, route, settings};
 use crate::clock;
 
@@ -75,7 +75,7 @@
     /// Requests under way here.
     pub active: AtomicU32,
     /// Turns prompts away while hardly any engine is free.
-    pub gate: gate::Gate,
+    pub gate: admission::AdmissionControl,
     /// Wakes the control thread: the other entries have to know of a long prompt at once.
     pub news: Notify,
     /// What the settings allow of retries; may change while the process runs.
@@ -113,7 +113,7 @@
             serving_others: AtomicUsize::new(0),
             last_request_ms: AtomicU64::new(0),
             active: AtomicU32::new(0),
-            gate: gate::Gate::default(),
+            gate: admission::AdmissionControl::default(),
             book: Mutex::default(),
             turned_away: Mutex::default(),
             limits: Mutex::default(),
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,5 +1,6 @@
 //! Entries that forward straight to endpoints: their decisions and connections, without a platform.
 
+mod admission;
 mod backoff;
 mod billing;
 mod choice;
@@ -9,7 +10,6 @@
 mod drain;
 mod evacuations;
 mod fleet;
-mod gate;
 mod limits;
 mod outage;
 mod pulls;
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -9,7 +9,7 @@
 use briarwinch::gateway::fleet::exchange::{Exchange, Facts, Outgoing, Own};
 use briarwinch::gateway::fleet::message::Message;
 use briarwinch::gateway::fleet::peers::Peers;
-use briarwinch::gateway::policy::{gate, limits, load, prefix_index};
+use briarwinch::gateway::policy::{admission, limits, load, prefix_index};
 use briarwinch::gateway::settings;
 use briarwinch::gateway::{departures, evacuation};
 use proptest::prelude::*;
@@ -368,7 +368,7 @@
         holds_duties: node.holds_duties,
         is_stopping: node.is_stopping,
         lease: None,
-        gate: gate::Gate::default().ages(now_ms),
+        gate: admission::AdmissionControl::default().ages(now_ms),
         evacuations: node.evacuations.told(now_ms),
         limits: node.limits.told(now_ms),
         limits_stamp: node.limits.newest_stamp(),
