--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -128,7 +128,7 @@
             return Err(Failure::Closed);
         }
         self.note_cold_send(job, &endpoint, now_ms);
-        self.shared.limits().note(endpoint.key, now_ms);
+        self.shared.limits().record_send(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
             self.shared.homes().record_sent(endpoint.key, &prompt.parts, now_ms);
             if is_news(choice) {
@@ -259,7 +259,7 @@
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
-        let change = limits.answered(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
+        let change = limits.record_answer(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             lines::endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // The other entries send at their usual rate until they know.
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -47,11 +47,11 @@
     }
 
     /// Takes what a peer tells of the limits that endpoints have named.
-    pub(in crate::gateway) fn take_limits(&self, told: &[limits::Told], now_ms: u64) {
+    pub(in crate::gateway) fn take_limits(&self, told: &[limits::LimitUpdate], now_ms: u64) {
         let directory = self.directory.borrow();
         let mut limits = self.shared.limits();
         for one in told {
-            let change = limits.adopt(*one, now_ms);
+            let change = limits.apply_update(*one, now_ms);
             if let (Some(change), Some(endpoint)) = (change, directory.find(one.endpoint)) {
                 lines::endpoint_limit(&self.log, &endpoint.id, change, "peer");
             }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -70,7 +70,7 @@
     let newest = [own, told].into_iter().flatten().max_by_key(|(told, _)| told.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
-        (limits.told(now_ms), limits.newest_stamp())
+        (limits.updates(now_ms), limits.newest_stamp())
     };
     Facts {
         age_ms: control.shared.time.age_ms(),
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -47,7 +47,7 @@
     pub lease: Option<lease::Told>,
     pub gate: admission::Ages,
     pub evacuations: evacuation::Told,
-    pub limits: Vec<limits::Told>,
+    pub limits: Vec<limits::LimitUpdate>,
     /// The newest change of an endpoint's limit.
     pub limits_stamp: u64,
     pub departures: Vec<departures::Departure>,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -90,7 +90,7 @@
     Roster(roster::Roster),
     Placed(Placed),
     /// Limits that endpoints have named, told with an entry's state.
-    Limits(Vec<limits::Told>),
+    Limits(Vec<limits::LimitUpdate>),
     /// Endpoints that have said that they leave, likewise.
     Departures(Vec<departures::Departure>),
     /// What one start of an entry has counted.
--- a/src/gateway/lines.rs
+++ b/src/gateway/lines.rs
@@ -115,7 +115,7 @@
     }
 
     pub(super) fn log_choice(&self, job: &Job, choice: &choose::Choice<'_>) {
-        let limit = self.shared.limits().of(choice.endpoint.key);
+        let limit = self.shared.limits().rate(choice.endpoint.key);
         slog::debug!(self.log, "sent"; "request" => job.request.id.as_str(),
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
             "version" => job.table.version(), "endpoint" => choice.endpoint.id.as_str(),
--- a/src/gateway/policy/limits.rs
+++ b/src/gateway/policy/limits.rs
@@ -65,7 +65,7 @@
 
 /// A limit, or its end, as entries tell each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct LimitUpdate {
     pub endpoint: EndpointKey,
     pub stamp: u64,
     /// `None`: the endpoint has no limit any more.
@@ -104,7 +104,7 @@
     ///
     /// An answer without a limit ends one only if its request left after the limit was named: answers
     /// overtake each other.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         endpoint: EndpointKey,
         named: Option<Rate>,
@@ -122,11 +122,11 @@
             (_, known) => known.map_or(0, |known| known.stamp),
         };
         let stamp = unix_ms.max(before + 1);
-        self.set(Told { endpoint, stamp, rate: named }, now_ms)
+        self.set(LimitUpdate { endpoint, stamp, rate: named }, now_ms)
     }
 
     /// Takes what a peer tells, if it is newer than what is known here.
-    pub fn adopt(&mut self, told: Told, now_ms: u64) -> Option<Change> {
+    pub fn apply_update(&mut self, told: LimitUpdate, now_ms: u64) -> Option<Change> {
         let order = |stamp: u64, rate: Option<Rate>| (stamp, rate.is_some());
         let is_newer = self
             .known
@@ -135,7 +135,7 @@
         if is_newer { self.set(told, now_ms) } else { None }
     }
 
-    fn set(&mut self, told: Told, now_ms: u64) -> Option<Change> {
+    fn set(&mut self, told: LimitUpdate, now_ms: u64) -> Option<Change> {
         let before = self.known.get(&told.endpoint).copied();
         let known = Known {
             stamp: told.stamp,
@@ -171,7 +171,7 @@
     }
 
     /// A request goes to an endpoint now.
-    pub fn note(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_send(&mut self, endpoint: EndpointKey, now_ms: u64) {
         if let Some(known) = self.known.get_mut(&endpoint) {
             known.used_ms = now_ms;
         }
@@ -179,7 +179,7 @@
 
     /// What an endpoint takes from all entries together, if it is limited.
     #[must_use]
-    pub fn of(&self, endpoint: EndpointKey) -> Option<Rate> {
+    pub fn rate(&self, endpoint: EndpointKey) -> Option<Rate> {
         self.known.get(&endpoint)?.rate
     }
 
@@ -191,17 +191,17 @@
 
     /// What the other entries are told now: the news, and a part of all else.
     #[must_use]
-    pub fn told(&self, now_ms: u64) -> Vec<Told> {
+    pub fn updates(&self, now_ms: u64) -> Vec<LimitUpdate> {
         let turn = (now_ms / TURN_MS % u64::from(TURNS)) as u8;
         let is_told = |(endpoint, known): &(&EndpointKey, &Known)| {
             now_ms < known.changed_ms + NEWS_MS || endpoint.part_of(TURNS) == turn
         };
-        let told = |(endpoint, known): (&EndpointKey, &Known)| Told {
+        let told = |(endpoint, known): (&EndpointKey, &Known)| LimitUpdate {
             endpoint: *endpoint,
             stamp: known.stamp,
             rate: known.rate,
         };
-        let mut all: Vec<Told> = self.known.iter().filter(is_told).map(told).collect();
+        let mut all: Vec<LimitUpdate> = self.known.iter().filter(is_told).map(told).collect();
         all.sort_unstable_by_key(|told| told.endpoint);
         all
     }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashSet, VecDeque};
 
 use briarwinch::gateway::directory::EndpointKey;
-use briarwinch::gateway::policy::limits::{self, Limits, Rate, Told};
+use briarwinch::gateway::policy::limits::{self, LimitUpdate, Limits, Rate};
 use briarwinch::gateway::policy::warmup::Standing;
 use proptest::prelude::*;
 
@@ -88,7 +88,7 @@
             if node.is_silent {
                 continue;
             }
-            node.limits.answered(key(0), self.limit, sent_ms, now_ms, now_ms);
+            node.limits.record_answer(key(0), self.limit, sent_ms, now_ms, now_ms);
             if self.limit.is_some() {
                 self.records[index].told_ms.get_or_insert(now_ms);
             }
@@ -113,7 +113,7 @@
         if !node.limits.has_room(key(0), now_ms) {
             return;
         }
-        node.limits.note(key(0), now_ms);
+        node.limits.record_send(key(0), now_ms);
         self.under_way.push_back((now_ms + ANSWER_MS, index, now_ms));
         self.total += 1;
         let is_told = record.told_ms.is_some_and(|told_ms| now_ms >= told_ms + TOLD_MS);
@@ -186,7 +186,7 @@
         assert!((1.8..=2.2).contains(&per_s), "{entries} entries: {per_s} a second");
         burst.limit = None;
         burst.run_ms(&mut fleet, 5_000);
-        let limited = fleet.nodes.iter().filter(|node| node.limits.of(key(0)).is_some()).count();
+        let limited = fleet.nodes.iter().filter(|node| node.limits.rate(key(0)).is_some()).count();
         assert_eq!(limited, 0, "of {entries} entries");
     }
 }
@@ -195,24 +195,27 @@
 #[test]
 fn an_answer_that_was_overtaken_does_not_end_a_limit() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    assert!(limits.answered(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
-    assert!(limits.answered(endpoint, None, 950, 1_050, START_MS).is_none());
-    assert_eq!(limits.of(endpoint), Some(rate(2.0)));
-    assert!(limits.answered(endpoint, None, 1_060, 1_100, START_MS).is_some());
-    assert_eq!(limits.of(endpoint), None);
+    assert!(limits.record_answer(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
+    assert!(limits.record_answer(endpoint, None, 950, 1_050, START_MS).is_none());
+    assert_eq!(limits.rate(endpoint), Some(rate(2.0)));
+    assert!(limits.record_answer(endpoint, None, 1_060, 1_100, START_MS).is_some());
+    assert_eq!(limits.rate(endpoint), None);
 }
 
 /// Guards against peers that tell old news: a limit that has ended would return from them for ever.
 #[test]
 fn the_newest_change_of_a_limit_counts_whoever_tells_it() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    let told = |stamp, rate| Told { endpoint, stamp, rate };
-    assert!(limits.adopt(told(50, Some(rate(2.0))), 1_000).is_some());
-    assert!(limits.adopt(told(60, None), 1_010).is_some());
-    assert!(limits.adopt(told(50, Some(rate(2.0))), 1_020).is_none());
-    assert_eq!(limits.of(endpoint), None);
-    assert!(limits.adopt(told(60, Some(rate(3.0))), 1_030).is_some(), "named at the same time");
-    assert_eq!(limits.of(endpoint), Some(rate(3.0)));
+    let told = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
+    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_000).is_some());
+    assert!(limits.apply_update(told(60, None), 1_010).is_some());
+    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_020).is_none());
+    assert_eq!(limits.rate(endpoint), None);
+    assert!(
+        limits.apply_update(told(60, Some(rate(3.0))), 1_030).is_some(),
+        "named at the same time"
+    );
+    assert_eq!(limits.rate(endpoint), Some(rate(3.0)));
 }
 
 /// Guards against datagrams that grow with the endpoints that are limited: each entry would be told of all of
@@ -222,10 +225,11 @@
     const ENDPOINTS: usize = 600;
     let mut limits = Limits::default();
     for index in 0..ENDPOINTS {
-        limits.answered(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
+        limits.record_answer(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
     }
-    assert_eq!(limits.told(1_100).len(), ENDPOINTS, "news");
-    let told: Vec<Vec<Told>> = (0..16).map(|turn| limits.told(10_000 + turn * 200)).collect();
+    assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "news");
+    let told: Vec<Vec<LimitUpdate>> =
+        (0..16).map(|turn| limits.updates(10_000 + turn * 200)).collect();
     let most = told.iter().map(Vec::len).max().unwrap_or(0);
     assert!(most <= ENDPOINTS / 8, "{most} at once");
     let all: HashSet<EndpointKey> = told.iter().flatten().map(|told| told.endpoint).collect();
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -240,7 +240,7 @@
             }
             Message::Limits(limits) => {
                 for told in limits {
-                    node.limits.adopt(told, now_ms);
+                    node.limits.apply_update(told, now_ms);
                 }
             }
             Message::Departures(departures) => {
@@ -370,7 +370,7 @@
         lease: None,
         gate: admission::AdmissionControl::default().ages(now_ms),
         evacuations: node.evacuations.told(now_ms),
-        limits: node.limits.told(now_ms),
+        limits: node.limits.updates(now_ms),
         limits_stamp: node.limits.newest_stamp(),
         departures: node.departures.told(now_ms),
     }
