--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -194,7 +194,7 @@
         }
         pool::connect(endpoint.addr).await.map_err(|error| {
             self.unreachable(endpoint);
-            self.cold_sends.borrow_mut().refused(endpoint.key, self.now_ms());
+            self.cold_sends.borrow_mut().record_refused(endpoint.key, self.now_ms());
             Failure::NotSent(error)
         })
     }
@@ -208,7 +208,7 @@
     /// Notes a send to an endpoint that is, or may turn, cold.
     fn note_cold_send(&self, job: &job::Job, endpoint: &directory::Endpoint, now_ms: u64) {
         if job.service().warm_up.is_some() {
-            self.cold_sends.borrow_mut().note(endpoint.key, now_ms);
+            self.cold_sends.borrow_mut().record_send(endpoint.key, now_ms);
         }
     }
 
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -87,8 +87,8 @@
         table: Option<&route::Table>,
         directory: &directory::Directory,
         now_ms: u64,
-    ) -> warmup::Warming {
-        let mut warming = warmup::Warming::default();
+    ) -> warmup::ColdEndpoints {
+        let mut warming = warmup::ColdEndpoints::default();
         let (Some(table), Some(rate)) = (table, self.shared.settings.cold_rate) else {
             return warming;
         };
@@ -100,7 +100,7 @@
         let exchange = self.exchange.borrow();
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
-            let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
+            let most_per_s = warmup::max_per_s_per_sender(warm_up.per_s, rate.factor, rate.extra);
             for endpoint in directory.taking(&service.name) {
                 let back_ms =
                     taken_back.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
@@ -110,7 +110,7 @@
                 };
                 let keeps = exchange.keeps(endpoint.key, &endpoint.zone);
                 let allowed =
-                    warmup::Allowed { until_ms, most_per_s: if keeps { most_per_s } else { 0 } };
+                    warmup::ColdLimit { until_ms, max_per_s: if keeps { most_per_s } else { 0 } };
                 warming.endpoints.insert(endpoint.key, allowed);
             }
         }
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -9,7 +9,7 @@
 /// What forbids sends to endpoints, as of one moment.
 pub(super) struct Eligibility<'a> {
     snapshot: &'a shared::Snapshot,
-    cold_sends: Ref<'a, warmup::Sends>,
+    cold_sends: Ref<'a, warmup::ColdSends>,
     limits: MutexGuard<'a, limits::Limits>,
     departures: MutexGuard<'a, departures::Departures>,
     backoff: Ref<'a, backoff::Backoff>,
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -139,7 +139,7 @@
     rejoins_until_ms: u64,
     /// Since when this entry aggregates or has an aggregator, without a break.
     joined_since_ms: Option<u64>,
-    keepers: warmup::Keepers,
+    keepers: warmup::DesignatedSenders,
     /// Since when this entry aggregates.
     acts_since_ms: Option<u64>,
     last: Last,
@@ -166,7 +166,7 @@
             heard_ms: 0,
             rejoins_until_ms: 0,
             joined_since_ms: None,
-            keepers: warmup::Keepers::default(),
+            keepers: warmup::DesignatedSenders::default(),
             acts_since_ms: None,
             last: Last::default(),
             last_work: Vec::new(),
@@ -198,7 +198,7 @@
     /// that has just joined may not know of others that think the same of themselves.
     #[must_use]
     pub fn keeps(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
-        self.keepers.is_keeper(self.own.addr, endpoint, zone)
+        self.keepers.is_designated(self.own.addr, endpoint, zone)
     }
 
     /// This entry's place among those that may send to an endpoint of this zone, if it knows the others.
@@ -207,8 +207,8 @@
         &self,
         endpoint: directory::EndpointKey,
         zone: &str,
-    ) -> Option<warmup::Standing> {
-        self.keepers.standing(self.own.addr, endpoint, zone)
+    ) -> Option<warmup::Position> {
+        self.keepers.position(self.own.addr, endpoint, zone)
     }
 
     fn see_keepers(&mut self, now_ms: u64) {
@@ -217,7 +217,7 @@
         let is_known = is_settled || self.peers.is_only_entry();
         let hears_half = self.peers.hears_half(now_ms);
         let candidates = if is_known { self.peers.keepers(hears_half, now_ms) } else { Vec::new() };
-        self.keepers.see(candidates, hears_half, now_ms);
+        self.keepers.observe(candidates, hears_half, now_ms);
     }
 
     /// What to send now. `is_news`: work has come that others have to know of at once.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -53,7 +53,7 @@
     health: RefCell<health::Health>,
     pauses: RefCell<pauses::Pauses>,
     budgets: RefCell<budget::Budgets>,
-    cold_sends: RefCell<warmup::Sends>,
+    cold_sends: RefCell<warmup::ColdSends>,
     backoff: RefCell<backoff::Backoff>,
     log: slog::Logger,
 }
--- a/src/gateway/policy/limits.rs
+++ b/src/gateway/policy/limits.rs
@@ -55,7 +55,7 @@
 
 /// Requests that an entry may send in a window to an endpoint with this limit.
 #[must_use]
-pub fn share(rate: Rate, standing: Option<warmup::Standing>) -> u32 {
+pub fn share(rate: Rate, standing: Option<warmup::Position>) -> u32 {
     let Some(standing) = standing else {
         return 0;
     };
--- a/src/gateway/policy/warmup.rs
+++ b/src/gateway/policy/warmup.rs
@@ -20,7 +20,7 @@
 
 use crate::gateway::directory::EndpointKey;
 
-/// Keepers of one endpoint at a time, while views differ.
+/// DesignatedSenders of one endpoint at a time, while views differ.
 const KEEPERS: f64 = 2.0;
 /// The bound holds for any second; what is sent in a little more may arrive within one.
 const WINDOW_MS: u64 = 1_080;
@@ -33,7 +33,7 @@
 
 /// Requests in a second that a cold endpoint may get from this entry, of this rate of its service.
 #[must_use]
-pub fn most_per_s(per_s: f64, factor: f64, extra: f64) -> u32 {
+pub fn max_per_s_per_sender(per_s: f64, factor: f64, extra: f64) -> u32 {
     let part = ((per_s * factor + extra) / KEEPERS).floor();
     part.min(per_s.ceil()).max(1.0) as u32
 }
@@ -56,18 +56,18 @@
 
 /// An entry's place among those that may send to an endpoint, the endpoint's own zone first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Position {
     /// Zero comes first.
     pub rank: usize,
     pub entries: usize,
 }
 
 impl View {
-    fn standing(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> Option<Standing> {
+    fn position(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> Option<Position> {
         let order = |one: &Candidate| (one.zone == zone, weight(endpoint, one.addr));
         let own = order(self.candidates.iter().find(|one| one.addr == own)?);
         let rank = self.candidates.iter().filter(|one| order(one) > own).count();
-        Some(Standing { rank, entries: self.candidates.len() })
+        Some(Position { rank, entries: self.candidates.len() })
     }
 
     /// The one that sends to an endpoint of this zone.
@@ -90,13 +90,13 @@
 /// A keeper acts only once it has been the keeper for the time in which the bound holds: where the views
 /// change quickly, one keeper after another would each spend the bound within the same second.
 #[derive(Clone, Debug, Default)]
-pub struct Keepers {
+pub struct DesignatedSenders {
     views: VecDeque<View>,
 }
 
-impl Keepers {
+impl DesignatedSenders {
     /// These are the candidates now; none while this entry does not know the others.
-    pub fn see(&mut self, candidates: Vec<Candidate>, hears_half: bool, now_ms: u64) {
+    pub fn observe(&mut self, candidates: Vec<Candidate>, hears_half: bool, now_ms: u64) {
         let is_same =
             |last: &&mut View| last.hears_half == hears_half && last.candidates == candidates;
         match self.views.back_mut().filter(is_same) {
@@ -111,17 +111,17 @@
     /// This entry's place among those that may send to an endpoint: the last one that it has had lately,
     /// among the most entries. `None` while it does not know the others.
     #[must_use]
-    pub fn standing(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> Option<Standing> {
-        let standings: Option<Vec<Standing>> =
-            self.views.iter().map(|view| view.standing(own, endpoint, zone)).collect();
+    pub fn position(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> Option<Position> {
+        let standings: Option<Vec<Position>> =
+            self.views.iter().map(|view| view.position(own, endpoint, zone)).collect();
         standings?
             .into_iter()
-            .reduce(|a, b| Standing { rank: a.rank.max(b.rank), entries: a.entries.max(b.entries) })
+            .reduce(|a, b| Position { rank: a.rank.max(b.rank), entries: a.entries.max(b.entries) })
     }
 
     /// Whether this entry has been the keeper of an endpoint for long enough.
     #[must_use]
-    pub fn is_keeper(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> bool {
+    pub fn is_designated(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> bool {
         let keeps = |view: &View| view.hears_half && view.keeper(endpoint, zone) == Some(own);
         !self.views.is_empty() && self.views.iter().all(keeps)
     }
@@ -129,42 +129,42 @@
 
 /// What this entry may send to a cold endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct ColdLimit {
     pub until_ms: u64,
     /// Zero where another entry is the keeper.
-    pub most_per_s: u32,
+    pub max_per_s: u32,
 }
 
 /// Endpoints that are cold, or may be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Warming {
-    pub endpoints: HashMap<EndpointKey, Allowed>,
+pub struct ColdEndpoints {
+    pub endpoints: HashMap<EndpointKey, ColdLimit>,
 }
 
-impl Warming {
-    fn allowed(&self, endpoint: EndpointKey, now_ms: u64) -> Option<Allowed> {
+impl ColdEndpoints {
+    fn allowed(&self, endpoint: EndpointKey, now_ms: u64) -> Option<ColdLimit> {
         self.endpoints.get(&endpoint).copied().filter(|allowed| now_ms < allowed.until_ms)
     }
 }
 
 /// This entry's latest sends to endpoints of services that know a cold endpoint's rate.
 #[derive(Clone, Debug, Default)]
-pub struct Sends {
+pub struct ColdSends {
     at_ms: HashMap<EndpointKey, VecDeque<u64>>,
     refused_ms: HashMap<EndpointKey, u64>,
 }
 
-impl Sends {
+impl ColdSends {
     /// A connection to the endpoint was refused, or not made in time.
-    pub fn refused(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_refused(&mut self, endpoint: EndpointKey, now_ms: u64) {
         self.refused_ms.insert(endpoint, now_ms);
     }
 
     /// Whether the endpoint may get one more request from this entry now.
     #[must_use]
-    pub fn has_room(&self, endpoint: EndpointKey, warming: &Warming, now_ms: u64) -> bool {
+    pub fn has_room(&self, endpoint: EndpointKey, warming: &ColdEndpoints, now_ms: u64) -> bool {
         let most = match warming.allowed(endpoint, now_ms) {
-            Some(allowed) => allowed.most_per_s,
+            Some(allowed) => allowed.max_per_s,
             None if self.is_suspect(endpoint, now_ms) => 1,
             None => return true,
         };
@@ -178,7 +178,7 @@
     }
 
     /// A request goes to the endpoint now.
-    pub fn note(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_send(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let at_ms = self.at_ms.entry(endpoint).or_default();
         while at_ms.front().is_some_and(|sent_ms| now_ms >= sent_ms + WINDOW_MS) {
             at_ms.pop_front();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -20,7 +20,7 @@
     pub table: Option<Arc<route::Table>>,
     pub directory: Arc<directory::Directory>,
     pub evacuations: evacuation::Evacuations,
-    pub warming: warmup::Warming,
+    pub warming: warmup::ColdEndpoints,
 }
 
 impl Snapshot {
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -5,7 +5,7 @@
 
 use briarwinch::gateway::directory::EndpointKey;
 use briarwinch::gateway::policy::limits::{self, LimitUpdate, Limits, Rate};
-use briarwinch::gateway::policy::warmup::Standing;
+use briarwinch::gateway::policy::warmup::Position;
 use proptest::prelude::*;
 
 use crate::virtual_fleet::{Fleet, START_MS, TICK_MS, Trouble, key, troubles};
@@ -240,7 +240,7 @@
 #[test]
 fn an_entry_without_a_place_among_the_others_has_no_share() {
     assert_eq!(limits::share(rate(50.0), None), 0);
-    let first = |entries| Some(Standing { rank: 0, entries });
+    let first = |entries| Some(Position { rank: 0, entries });
     assert_eq!(limits::share(rate(2.2), first(4)), 2);
     assert_eq!(limits::share(rate(2.2), first(340)), 1);
     assert_eq!(
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use briarwinch::gateway::directory::{Change, Directory, EndpointKey, Event};
-use briarwinch::gateway::policy::warmup::{self, Allowed, Sends, Warming};
+use briarwinch::gateway::policy::warmup::{self, ColdEndpoints, ColdLimit, ColdSends};
 use proptest::prelude::*;
 
 use crate::directory::endpoint;
@@ -19,8 +19,8 @@
 /// Entries that send to cold endpoints whenever they may, as under a burst.
 struct Burst {
     zones: usize,
-    sends: Vec<Sends>,
-    warming: Vec<Warming>,
+    sends: Vec<ColdSends>,
+    warming: Vec<ColdEndpoints>,
     arrivals: HashMap<EndpointKey, VecDeque<u64>>,
     total: usize,
     most: usize,
@@ -31,8 +31,8 @@
         let entries = fleet.nodes.len();
         Self {
             zones,
-            sends: vec![Sends::default(); entries],
-            warming: vec![Warming::default(); entries],
+            sends: vec![ColdSends::default(); entries],
+            warming: vec![ColdEndpoints::default(); entries],
             arrivals: HashMap::new(),
             total: 0,
             most: 0,
@@ -41,15 +41,15 @@
 
     /// What the entry knew is lost with its process.
     fn forget(&mut self, index: usize) {
-        self.sends[index] = Sends::default();
-        self.warming[index] = Warming::default();
+        self.sends[index] = ColdSends::default();
+        self.warming[index] = ColdEndpoints::default();
     }
 
     fn run_ms(&mut self, fleet: &mut Fleet, span_ms: u64) {
         let end_ms = fleet.now_ms + span_ms;
         while fleet.now_ms < end_ms {
-            self.sends.resize_with(fleet.nodes.len(), Sends::default);
-            self.warming.resize_with(fleet.nodes.len(), Warming::default);
+            self.sends.resize_with(fleet.nodes.len(), ColdSends::default);
+            self.warming.resize_with(fleet.nodes.len(), ColdEndpoints::default);
             for index in 0..fleet.nodes.len() {
                 if !fleet.nodes[index].is_silent {
                     self.send(fleet, index);
@@ -62,11 +62,11 @@
     fn send(&mut self, fleet: &Fleet, index: usize) {
         let (now_ms, node) = (fleet.now_ms, &fleet.nodes[index]);
         if (now_ms + node.offset_ms).is_multiple_of(TICK_MS) {
-            let most_per_s = warmup::most_per_s(PER_S, FACTOR, EXTRA);
+            let most_per_s = warmup::max_per_s_per_sender(PER_S, FACTOR, EXTRA);
             let allowed = |endpoint: usize| {
                 let zone = ZONES[endpoint % self.zones];
                 let keeps = node.exchange.keeps(key(endpoint), zone);
-                Allowed { until_ms: u64::MAX, most_per_s: if keeps { most_per_s } else { 0 } }
+                ColdLimit { until_ms: u64::MAX, max_per_s: if keeps { most_per_s } else { 0 } }
             };
             self.warming[index].endpoints =
                 (0..ENDPOINTS).map(|endpoint| (key(endpoint), allowed(endpoint))).collect();
@@ -74,7 +74,7 @@
         for endpoint in (0..ENDPOINTS).map(key) {
             let is_known = !self.warming[index].endpoints.is_empty();
             if is_known && self.sends[index].has_room(endpoint, &self.warming[index], now_ms) {
-                self.sends[index].note(endpoint, now_ms);
+                self.sends[index].record_send(endpoint, now_ms);
                 self.arrive(endpoint, now_ms);
             }
         }
@@ -180,11 +180,11 @@
 /// Guards against an endpoint that restarts under its old id: the store tells only later that it is cold.
 #[test]
 fn an_endpoint_that_refused_a_connection_is_tried_with_one_request_a_second() {
-    let (mut sends, warming) = (Sends::default(), Warming::default());
+    let (mut sends, warming) = (ColdSends::default(), ColdEndpoints::default());
     let endpoint = EndpointKey::of("one");
-    sends.refused(endpoint, 10_000);
+    sends.record_refused(endpoint, 10_000);
     assert!(sends.has_room(endpoint, &warming, 10_100));
-    sends.note(endpoint, 10_100);
+    sends.record_send(endpoint, 10_100);
     assert!(!sends.has_room(endpoint, &warming, 10_900));
     assert!(sends.has_room(endpoint, &warming, 12_000), "it said nothing of being cold");
 }
