--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -239,18 +239,18 @@
     /// Whether bytes of any answer came from the endpoint just now, after the send.
     pub(super) fn is_alive(&self, endpoint: EndpointKey, sent_ms: u64) -> bool {
         let health = self.health.borrow();
-        health.heard_ms(endpoint) > sent_ms && health.is_alive(endpoint, self.now_ms())
+        health.last_bytes_ms(endpoint) > sent_ms && health.is_alive(endpoint, self.now_ms())
     }
 
     /// Takes what the head of an answer says of the endpoint, to a request that was sent at `sent_ms`.
     fn heard(&self, endpoint: &directory::Endpoint, facts: &request::AnswerFacts, sent_ms: u64) {
         let now_ms = self.now_ms();
-        self.health.borrow_mut().heard(endpoint.key, now_ms);
+        self.health.borrow_mut().record_bytes(endpoint.key, now_ms);
         if let Some(load) = facts.load {
             self.shared.book().record_report(endpoint.key, load.running + load.waiting, now_ms);
         }
         if let Some(wait_ms) = facts.retry_after_ms {
-            self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
+            self.backoff.borrow_mut().record_wait(endpoint, wait_ms, now_ms);
         }
         let departure = departures::Departure::of(endpoint);
         if facts.is_leaving && self.shared.departures().note(departure, now_ms) {
@@ -269,13 +269,13 @@
 
     pub(super) fn unreachable(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().forget(endpoint.addr);
-        self.health.borrow_mut().unreachable(endpoint.key, self.now_ms());
+        self.health.borrow_mut().record_unreachable(endpoint.key, self.now_ms());
     }
 
     /// Another endpoint answered at this one's address.
     pub(super) fn misdirected(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().forget(endpoint.addr);
-        self.health.borrow_mut().misdirected(endpoint.key, self.now_ms());
+        self.health.borrow_mut().record_misdirected(endpoint.key, self.now_ms());
     }
 
     /// Reads the rest of a short answer, if it is there already, and keeps the connection.
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -22,7 +22,7 @@
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
             && !self.departures.has(endpoint)
-            && self.backoff.left_ms(endpoint, self.now_ms) == 0
+            && self.backoff.remaining_ms(endpoint, self.now_ms) == 0
     }
 }
 
@@ -48,6 +48,6 @@
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
         let endpoints = snapshot.taking(&job.service().name, job.moving_key(), now_ms);
-        endpoints.map(|endpoint| backoff.left_ms(endpoint, now_ms)).min().unwrap_or(0)
+        endpoints.map(|endpoint| backoff.remaining_ms(endpoint, now_ms)).min().unwrap_or(0)
     }
 }
--- a/src/gateway/events_body.rs
+++ b/src/gateway/events_body.rs
@@ -207,7 +207,7 @@
             };
             if let Some(running) = &self.running {
                 let now_ms = self.gateway.now_ms();
-                self.gateway.health.borrow_mut().heard(running.endpoint.key, now_ms);
+                self.gateway.health.borrow_mut().record_bytes(running.endpoint.key, now_ms);
             }
             let Some(events) = self.splitter.push(&piece) else {
                 return Step::Lost(http1::Error::Malformed);
@@ -281,7 +281,7 @@
         let (gateway, endpoint) = (&self.gateway, &running.endpoint);
         let now_ms = gateway.now_ms();
         let took_ms = now_ms - running.sent_ms;
-        gateway.health.borrow_mut().ended(endpoint.key, false, took_ms, now_ms);
+        gateway.health.borrow_mut().record_answer(endpoint.key, false, took_ms, now_ms);
         if matches!(error, http1::Error::TimedOut) && now_ms < self.job.end_ms {
             gateway.unreachable(endpoint);
         }
@@ -318,9 +318,9 @@
         let now_ms = self.gateway.now_ms();
         let endpoint = &running.endpoint;
         let took_ms = now_ms - running.sent_ms;
-        self.gateway.health.borrow_mut().ended(endpoint.key, true, took_ms, now_ms);
+        self.gateway.health.borrow_mut().record_answer(endpoint.key, true, took_ms, now_ms);
         self.gateway.pool.borrow_mut().give(endpoint.addr, running.connection, now_ms);
-        self.gateway.pauses.borrow_mut().ended(
+        self.gateway.pauses.borrow_mut().record_stream(
             endpoint.key,
             self.pace.events,
             self.pace.longest_pause_ms,
--- a/src/gateway/policy/backoff.rs
+++ b/src/gateway/policy/backoff.rs
@@ -25,7 +25,7 @@
 
 impl Backoff {
     /// An endpoint wants nothing for so long.
-    pub fn ask(&mut self, endpoint: &Endpoint, wait_ms: u32, now_ms: u64) {
+    pub fn record_wait(&mut self, endpoint: &Endpoint, wait_ms: u32, now_ms: u64) {
         let until_ms = now_ms + u64::from(wait_ms).min(LONGEST_MS);
         let started_unix_ms = endpoint.started_unix_ms;
         let before = self.asked.get(&endpoint.key);
@@ -36,7 +36,7 @@
 
     /// How long an endpoint is still left alone; zero: it is not.
     #[must_use]
-    pub fn left_ms(&self, endpoint: &Endpoint, now_ms: u64) -> u64 {
+    pub fn remaining_ms(&self, endpoint: &Endpoint, now_ms: u64) -> u64 {
         let asked = self.asked.get(&endpoint.key);
         let asked = asked.filter(|asked| asked.started_unix_ms == endpoint.started_unix_ms);
         asked.map_or(0, |asked| asked.until_ms.saturating_sub(now_ms))
--- a/src/gateway/policy/health.rs
+++ b/src/gateway/policy/health.rs
@@ -36,7 +36,7 @@
 
 impl Health {
     /// No connection, or silence where an answer was due.
-    pub fn unreachable(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_unreachable(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let seen = self.seen.entry(endpoint).or_default();
         if seen.avoid_until_ms > now_ms {
             return;
@@ -47,14 +47,14 @@
 
     /// Another endpoint has the address now. That stays so until the list says otherwise, so this one
     /// is avoided for the longest time at once.
-    pub fn misdirected(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_misdirected(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let seen = self.seen.entry(endpoint).or_default();
         seen.avoid_ms = LONGEST_AVOID_MS;
         seen.avoid_until_ms = now_ms + LONGEST_AVOID_MS;
     }
 
     /// Bytes of an answer have come.
-    pub fn heard(&mut self, endpoint: EndpointKey, now_ms: u64) {
+    pub fn record_bytes(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let seen = self.seen.entry(endpoint).or_default();
         seen.heard_ms = now_ms;
         seen.avoid_ms = 0;
@@ -63,7 +63,7 @@
 
     /// When bytes of any answer last came from the endpoint.
     #[must_use]
-    pub fn heard_ms(&self, endpoint: EndpointKey) -> u64 {
+    pub fn last_bytes_ms(&self, endpoint: EndpointKey) -> u64 {
         self.seen.get(&endpoint).map_or(0, |seen| seen.heard_ms)
     }
 
@@ -74,7 +74,13 @@
     }
 
     /// An answer has ended, well or not, after this time.
-    pub fn ended(&mut self, endpoint: EndpointKey, is_good: bool, took_ms: u64, now_ms: u64) {
+    pub fn record_answer(
+        &mut self,
+        endpoint: EndpointKey,
+        is_good: bool,
+        took_ms: u64,
+        now_ms: u64,
+    ) {
         let seen = self.seen.entry(endpoint).or_default();
         let now = if is_good { 0.0 } else { 1.0 };
         seen.failed_share = faded(seen, now_ms);
--- a/src/gateway/policy/pauses.rs
+++ b/src/gateway/policy/pauses.rs
@@ -33,7 +33,13 @@
 
 impl Pauses {
     /// A stream of so many events has ended, with this as its longest pause.
-    pub fn ended(&mut self, endpoint: EndpointKey, events: u64, longest_ms: u64, now_ms: u64) {
+    pub fn record_stream(
+        &mut self,
+        endpoint: EndpointKey,
+        events: u64,
+        longest_ms: u64,
+        now_ms: u64,
+    ) {
         if events < LEAST_EVENTS || longest_ms > STALL_MS {
             return;
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -228,7 +228,12 @@
                         self.count(job, now_ms);
                     }
                     let took_ms = self.now_ms() - now_ms;
-                    self.health.borrow_mut().ended(choice.endpoint.key, false, took_ms, now_ms);
+                    self.health.borrow_mut().record_answer(
+                        choice.endpoint.key,
+                        false,
+                        took_ms,
+                        now_ms,
+                    );
                     if !job.kind.is_repeatable() {
                         let is_over = job.left_ms(self.now_ms()) == 0;
                         let over = error::Kind::DeadlineExceeded;
@@ -303,7 +308,7 @@
             Ok(Ok(body)) => Some(body),
         };
         let is_good = body.is_some() && !is_failure;
-        self.health.borrow_mut().ended(running.endpoint.key, is_good, took_ms, now_ms);
+        self.health.borrow_mut().record_answer(running.endpoint.key, is_good, took_ms, now_ms);
         if !is_good {
             job.may_have_run = true;
             slog::info!(self.log, "endpoint failed"; "request" => job.request.id.as_str(),
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -354,12 +354,12 @@
     let endpoints = endpoints(2);
     let mut random = StdRng::seed_from_u64(4);
     let mut entry = Entry::default();
-    entry.health.unreachable(endpoints[0].key, NOW_MS);
+    entry.health.record_unreachable(endpoints[0].key, NOW_MS);
     for _ in 0..10 {
         assert_eq!(entry.plain(&endpoints, &mut random), endpoints[1].key);
     }
     assert_eq!(entry.plain(&endpoints[..1], &mut random), endpoints[0].key);
-    entry.health.heard(endpoints[0].key, NOW_MS);
+    entry.health.record_bytes(endpoints[0].key, NOW_MS);
     assert!(!entry.health.is_avoided(endpoints[0].key, NOW_MS));
 }
 
@@ -394,7 +394,7 @@
     let endpoint = endpoints(1)[0].key;
     let mut health = health::Health::default();
     assert!(!health.is_alive(endpoint, NOW_MS), "never heard of");
-    health.heard(endpoint, NOW_MS);
+    health.record_bytes(endpoint, NOW_MS);
     assert!(health.is_alive(endpoint, NOW_MS + health::ALIVE_MS - 1));
     assert!(!health.is_alive(endpoint, NOW_MS + health::ALIVE_MS));
 }
@@ -405,8 +405,8 @@
     let mut random = StdRng::seed_from_u64(5);
     let mut entry = Entry::default();
     for _ in 0..20 {
-        entry.health.ended(endpoints[0].key, false, 20, NOW_MS);
-        entry.health.ended(endpoints[1].key, true, 20, NOW_MS);
+        entry.health.record_answer(endpoints[0].key, false, 20, NOW_MS);
+        entry.health.record_answer(endpoints[1].key, true, 20, NOW_MS);
     }
     for _ in 0..10 {
         assert_eq!(entry.plain(&endpoints, &mut random), endpoints[1].key);
@@ -424,7 +424,7 @@
     entry.homes.record_sent(endpoints[0].key, &question(0).parts, NOW_MS);
     for endpoint in &endpoints {
         let longest_ms = if endpoint.key == endpoints[0].key { 130 } else { 100 };
-        (0..6).for_each(|_| entry.pauses.ended(endpoint.key, 90, longest_ms, NOW_MS - 500));
+        (0..6).for_each(|_| entry.pauses.record_stream(endpoint.key, 90, longest_ms, NOW_MS - 500));
     }
     for seed in 0..20 {
         let mut random = StdRng::seed_from_u64(seed);
@@ -441,8 +441,8 @@
 fn stalls_and_short_streams_say_nothing_about_an_engines_steps() {
     let endpoint = endpoints(1)[0].key;
     let mut pauses = pauses::Pauses::default();
-    (0..10).for_each(|_| pauses.ended(endpoint, 90, 6_200, NOW_MS));
-    (0..10).for_each(|_| pauses.ended(endpoint, 2, 300, NOW_MS));
+    (0..10).for_each(|_| pauses.record_stream(endpoint, 90, 6_200, NOW_MS));
+    (0..10).for_each(|_| pauses.record_stream(endpoint, 2, 300, NOW_MS));
     assert!(pauses.late_share(endpoint, 120, NOW_MS) < 1e-9);
 }
 
