--- a/src/gateway/policy/outage.rs
+++ b/src/gateway/policy/outage.rs
@@ -35,7 +35,7 @@
 
 /// When the store failed this watcher, and when it was back.
 #[derive(Clone, Copy, Debug)]
-pub struct Outage {
+pub struct StoreOutage {
     /// How long a leaving endpoint goes on taking requests.
     leave_ms: u64,
     since_ms: Option<u64>,
@@ -44,7 +44,7 @@
     pause_ms: u64,
 }
 
-impl Outage {
+impl StoreOutage {
     /// No outage yet. `leave_ms`: how long a leaving endpoint goes on taking requests.
     #[must_use]
     pub fn new(leave_ms: u64) -> Self {
@@ -53,7 +53,7 @@
 
     /// The store did not answer. `is_behind`: others of the zone read the store before this entry. Gives how
     /// long to wait before the next call.
-    pub fn failed(&mut self, now_ms: u64, is_behind: bool, random: &mut impl Rng) -> u64 {
+    pub fn record_failure(&mut self, now_ms: u64, is_behind: bool, random: &mut impl Rng) -> u64 {
         self.since_ms.get_or_insert(now_ms);
         let longest_ms = if is_behind { LONGEST_PAUSE_BEHIND_MS } else { LONGEST_PAUSE_MS };
         self.pause_ms = (self.pause_ms * 2).clamp(FIRST_PAUSE_MS, longest_ms);
@@ -61,7 +61,7 @@
     }
 
     /// The store answered. Gives for how long it was away, if it was.
-    pub fn answered(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
         self.pause_ms = 0;
         let away_ms = now_ms - self.since_ms.take()?;
         if away_ms >= LAPSE_AFTER_MS {
@@ -71,16 +71,16 @@
     }
 
     #[must_use]
-    pub fn is_away(&self) -> bool {
+    pub fn is_down(&self) -> bool {
         self.since_ms.is_some()
     }
 
     /// How long the next watch waits at the store.
     #[must_use]
-    pub fn wait_ms(&self, now_ms: u64) -> u64 {
-        if self.is_away() {
+    pub fn watch_wait_ms(&self, now_ms: u64) -> u64 {
+        if self.is_down() {
             WAIT_AWAY_MS
-        } else if self.keep_until_ms(now_ms).is_some() {
+        } else if self.keep_missing_until_ms(now_ms).is_some() {
             WAIT_LAPSED_MS
         } else {
             WAIT_MS
@@ -89,7 +89,7 @@
 
     /// Until when an entry that is found missing now is kept, if it is.
     #[must_use]
-    pub fn keep_until_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn keep_missing_until_ms(&self, now_ms: u64) -> Option<u64> {
         let grace_ms = self.back_ms? + LAPSE_GRACE_MS;
         let leave_ms = now_ms + self.leave_ms.saturating_sub(LEAVE_SPARE_MS);
         (now_ms < grace_ms).then(|| grace_ms.min(leave_ms))
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -47,19 +47,19 @@
     let mut from = None;
     let mut has_listed = false;
     let leave_ms = control.shared.settings.leave_ms;
-    let mut outage = outage::Outage::new(leave_ms);
+    let mut outage = outage::StoreOutage::new(leave_ms);
     loop {
         // Each entry reads once for itself: what peers tell at the start may be old.
         let is_young = control.shared.time.age_ms() < MEET_MS;
         if from.is_some() && (is_young || !control.reads_store()) {
             control.store_answered(topic, true);
             // An outage of long ago says nothing about what vanishes when this entry reads again.
-            outage = outage::Outage::new(leave_ms);
+            outage = outage::StoreOutage::new(leave_ms);
             time::sleep(ASIDE).await;
             continue;
         }
         let asked_ms = control.now_ms();
-        let wait_ms = outage.wait_ms(asked_ms);
+        let wait_ms = outage.watch_wait_ms(asked_ms);
         let brought = match from {
             None => control.platform.list_all(topic).await.map_err(WatchFailure::Failed),
             Some(revision) => tokio::select! {
@@ -72,7 +72,7 @@
         control.store_answered(topic, is_good);
         match brought {
             Ok(batch) => {
-                if let Some(away_ms) = outage.answered(now_ms) {
+                if let Some(away_ms) = outage.record_answer(now_ms) {
                     slog::info!(control.log, "store regained"; "topic" => format!("{topic:?}"),
                         "away_ms" => away_ms);
                 }
@@ -86,7 +86,7 @@
                 let origin = Origin {
                     is_list,
                     is_live: !is_list && now_ms >= asked_ms + LIVE_MS,
-                    keep_until_ms: outage.keep_until_ms(now_ms),
+                    keep_until_ms: outage.keep_missing_until_ms(now_ms),
                 };
                 take(&control, topic, batch, origin);
                 if topic == Topic::Endpoints && has_changes {
@@ -98,7 +98,7 @@
                 from = None;
             }
             Err(WatchFailure::Failed(failure)) => {
-                if !outage.is_away() {
+                if !outage.is_down() {
                     slog::warn!(control.log, "store lost"; "topic" => format!("{topic:?}"),
                         "failure" => failure.to_string());
                 }
@@ -107,7 +107,7 @@
                 }
                 // One that has listed nothing yet cannot serve, and looks as often as the first.
                 let is_behind = has_listed && control.is_behind_readers();
-                let pause_ms = outage.failed(now_ms, is_behind, &mut rand::rng());
+                let pause_ms = outage.record_failure(now_ms, is_behind, &mut rand::rng());
                 let pause = Duration::from_millis(pause_ms);
                 if has_listed {
                     control.other_topic_is_answered(topic, pause).await;
