--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -120,7 +120,7 @@
     pub(super) outbox: RefCell<delivery::Outbox>,
     /// Up to when the other entries have counted.
     pub(super) settled: RefCell<delivery::Settled>,
-    pub(super) sharers: Cell<budget::Sharers>,
+    pub(super) sharers: Cell<budget::FleetSize>,
     pub(super) socket: UdpSocket,
     /// This entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -123,7 +123,7 @@
     let sharing = peers.sharing(now_ms);
     control.shared.entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
-    let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
+    let sharing = sharers.observe(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
     control.shared.sharers.store(sharing, Ordering::Relaxed);
     control.shared.serving_others.store(peers.serving(now_ms), Ordering::Relaxed);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -52,7 +52,7 @@
     pool: RefCell<pool::Pool>,
     health: RefCell<health::Health>,
     pauses: RefCell<pauses::Pauses>,
-    budgets: RefCell<budget::Budgets>,
+    budgets: RefCell<budget::RetryBudgets>,
     cold_sends: RefCell<warmup::ColdSends>,
     backoff: RefCell<backoff::Backoff>,
     log: slog::Logger,
@@ -67,7 +67,7 @@
         log: slog::Logger,
     ) -> Rc<Self> {
         let gateway = Rc::new(Self {
-            budgets: RefCell::new(budget::Budgets::new(shared.settings.retries.allowed())),
+            budgets: RefCell::new(budget::RetryBudgets::new(shared.settings.retries.allowed())),
             shared,
             form,
             pool: RefCell::default(),
--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -17,7 +17,7 @@
 
 /// What the operators allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct BudgetConfig {
     /// Retries for each request.
     pub ratio: f64,
     /// Retries beyond that in a window, by all entries together.
@@ -34,13 +34,13 @@
 /// all the same, so its own part never grows. One that has just started does not know how many there
 /// are.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sharers {
+pub struct FleetSize {
     most: usize,
 }
 
-impl Sharers {
+impl FleetSize {
     /// So many entries are known now; `is_settled`: there was time to hear of all.
-    pub fn seen(&mut self, entries: usize, is_settled: bool) -> usize {
+    pub fn observe(&mut self, entries: usize, is_settled: bool) -> usize {
         if !is_settled {
             return entries.max(LARGEST_FLEET);
         }
@@ -58,24 +58,24 @@
 
 /// The budgets of all services, as one entry keeps them.
 #[derive(Clone, Debug)]
-pub struct Budgets {
-    allowed: Allowed,
+pub struct RetryBudgets {
+    allowed: BudgetConfig,
     services: HashMap<CompactString, VecDeque<Step>>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     #[must_use]
-    pub fn new(allowed: Allowed) -> Self {
+    pub fn new(allowed: BudgetConfig) -> Self {
         Self { allowed, services: HashMap::new() }
     }
 
     /// Takes other figures from now on.
-    pub fn set(&mut self, allowed: Allowed) {
+    pub fn set(&mut self, allowed: BudgetConfig) {
         self.allowed = allowed;
     }
 
     /// A request for the service has come.
-    pub fn request(&mut self, service: &str, now_ms: u64) {
+    pub fn record_request(&mut self, service: &str, now_ms: u64) {
         self.step(service, now_ms).requests += 1;
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Takes one retry out, if this entry's part of the budget allows it.
-    pub fn spend(&mut self, service: &str, entries: usize, now_ms: u64) -> bool {
+    pub fn try_spend(&mut self, service: &str, entries: usize, now_ms: u64) -> bool {
         let has_room = self.has_room(service, entries, now_ms);
         if has_room {
             self.step(service, now_ms).retries += 1;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -104,7 +104,7 @@
         let kind = route.kind;
         let priority = account.and_then(|one| one.priority).unwrap_or(route.priority);
         let account = account.map(|one| one.name.clone());
-        self.budgets.borrow_mut().request(&table.service(service).name, arrived_ms);
+        self.budgets.borrow_mut().record_request(&table.service(service).name, arrived_ms);
         Ok(Job {
             request,
             route: key,
@@ -250,7 +250,7 @@
         let now_ms = self.now_ms();
         let sharers = self.shared.sharers.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
-            && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
+            && self.budgets.borrow_mut().try_spend(&job.service().name, sharers, now_ms)
     }
 
     fn choose<'a>(&self, snapshot: &'a shared::Snapshot, job: &Job) -> Option<choose::Choice<'a>> {
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -22,8 +22,8 @@
 impl Retries {
     /// The figures as a budget takes them.
     #[must_use]
-    pub fn allowed(&self) -> budget::Allowed {
-        budget::Allowed {
+    pub fn allowed(&self) -> budget::BudgetConfig {
+        budget::BudgetConfig {
             ratio: self.ratio,
             extra: self.extra,
             window_ms: (self.window_s * 1_000.0) as u64,
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,12 +1,12 @@
 //! The shared retry budget: entries that know nothing of each other never spend too much in sum, and
 //! spend most of it when there is need.
 
-use briarwinch::gateway::policy::budget::{Allowed, Budgets, Sharers};
+use briarwinch::gateway::policy::budget::{BudgetConfig, FleetSize, RetryBudgets};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-const ALLOWED: Allowed = Allowed { ratio: 0.2, extra: 54.0, window_ms: 10_000 };
+const ALLOWED: BudgetConfig = BudgetConfig { ratio: 0.2, extra: 54.0, window_ms: 10_000 };
 
 /// Retries of all entries in each window of the budget's length.
 fn most_in_a_window(spent_ms: &[u64]) -> usize {
@@ -23,14 +23,14 @@
         entries in 1_usize..12,
         gaps_ms in prop::collection::vec(0_u64..60, 300..900),
     ) {
-        let mut budgets = vec![Budgets::new(ALLOWED); entries];
+        let mut budgets = vec![RetryBudgets::new(ALLOWED); entries];
         let (mut now_ms, mut spent_ms, mut requests_ms) = (50_000, Vec::new(), Vec::new());
         for (index, gap_ms) in gaps_ms.iter().enumerate() {
             now_ms += gap_ms;
             let budget = &mut budgets[index % entries];
-            budget.request("engine", now_ms);
+            budget.record_request("engine", now_ms);
             requests_ms.push(now_ms);
-            while budget.spend("engine", entries, now_ms) {
+            while budget.try_spend("engine", entries, now_ms) {
                 spent_ms.push(now_ms);
             }
         }
@@ -48,8 +48,8 @@
     let mut spent = 0;
     // Four entries spend all they may, and one of them does so once more after its restart.
     for _ in 0..5 {
-        let mut budgets = Budgets::new(ALLOWED);
-        while budgets.spend("engine", 4, 60_000) {
+        let mut budgets = RetryBudgets::new(ALLOWED);
+        while budgets.try_spend("engine", 4, 60_000) {
             spent += 1;
         }
     }
@@ -60,12 +60,12 @@
 /// whether a retry is possible must not use one up.
 #[test]
 fn asking_for_room_takes_nothing() {
-    let mut budgets = Budgets::new(ALLOWED);
+    let mut budgets = RetryBudgets::new(ALLOWED);
     let spent = (0..100).filter(|_| {
         let has_room = budgets.has_room("engine", 4, 60_000);
         let same = budgets.has_room("engine", 4, 60_000);
         assert_eq!(has_room, same);
-        assert_eq!(budgets.spend("engine", 4, 60_000), has_room);
+        assert_eq!(budgets.try_spend("engine", 4, 60_000), has_room);
         has_room
     });
     assert!(spent.count() > 4);
@@ -73,11 +73,11 @@
 
 #[test]
 fn services_have_budgets_of_their_own() {
-    let mut budgets = Budgets::new(ALLOWED);
-    while budgets.spend("engine", 1, 60_000) {}
-    assert!(budgets.spend("ledger", 1, 60_000));
-    assert!(!budgets.spend("engine", 1, 60_000));
-    assert!(budgets.spend("engine", 1, 75_000), "a window later there is room again");
+    let mut budgets = RetryBudgets::new(ALLOWED);
+    while budgets.try_spend("engine", 1, 60_000) {}
+    assert!(budgets.try_spend("ledger", 1, 60_000));
+    assert!(!budgets.try_spend("engine", 1, 60_000));
+    assert!(budgets.try_spend("engine", 1, 75_000), "a window later there is room again");
 }
 
 /// Entries of a large fleet with unequal traffic lose sight of each other while a service fails. Each would
@@ -85,10 +85,10 @@
 #[test]
 fn a_fleet_whose_views_disagree_stays_within_the_budget() {
     const SEED: u64 = 7;
-    let allowed = Allowed { ratio: 0.2, extra: 176.0, window_ms: 10_000 };
+    let allowed = BudgetConfig { ratio: 0.2, extra: 176.0, window_ms: 10_000 };
     for (entries, failing) in [(5, 0.14), (5, 0.5), (68, 0.14), (68, 0.5), (340, 0.5)] {
         let mut random = StdRng::seed_from_u64(SEED);
-        let mut fleet = vec![(Budgets::new(allowed), Sharers::default()); entries];
+        let mut fleet = vec![(RetryBudgets::new(allowed), FleetSize::default()); entries];
         let (mut spent_ms, mut requests_ms) = (Vec::new(), Vec::new());
         for now_ms in 50_000..75_000_u64 {
             for _ in 0..random.random_range(0..2) {
@@ -98,14 +98,14 @@
                 let view = if is_cut_off { random.random_range(1..=entries) } else { entries };
                 let is_restarted = random.random_bool(0.0002);
                 if is_restarted {
-                    fleet[index] = (Budgets::new(allowed), Sharers::default());
+                    fleet[index] = (RetryBudgets::new(allowed), FleetSize::default());
                 }
                 let (budgets, sharers) = &mut fleet[index];
-                let sharing = sharers.seen(view, !is_restarted);
-                sharers.seen(entries, true);
-                budgets.request("ledger", now_ms);
+                let sharing = sharers.observe(view, !is_restarted);
+                sharers.observe(entries, true);
+                budgets.record_request("ledger", now_ms);
                 requests_ms.push(now_ms);
-                while random.random_bool(failing) && budgets.spend("ledger", sharing, now_ms) {
+                while random.random_bool(failing) && budgets.try_spend("ledger", sharing, now_ms) {
                     spent_ms.push(now_ms);
                 }
             }
