--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -63,20 +63,20 @@
 
 /// What is known when a request is placed.
 #[derive(Debug)]
-pub struct Known<'a> {
-    pub book: &'a load::LoadTable,
-    pub homes: &'a prefix_index::PrefixIndex,
+pub struct Inputs<'a> {
+    pub load_table: &'a load::LoadTable,
+    pub prefix_index: &'a prefix_index::PrefixIndex,
     pub health: &'a health::Health,
-    pub reading: &'a prefill::PrefillModel,
+    pub prefill: &'a prefill::PrefillModel,
     pub pauses: &'a pauses::Pauses,
     /// Longest pause between events that is in time for the caller; zero where it does not matter.
-    pub pause_ms: u32,
+    pub pause_limit_ms: u32,
     pub zone: &'a str,
     pub now_ms: u64,
     /// The first event is in time for the caller within this.
     pub target_ms: f64,
     /// How long the caller waits for a first event.
-    pub patience_ms: f64,
+    pub max_wait_ms: f64,
     /// Availability zones of the endpoints to which this request found no connection, one for each.
     pub refused_zones: &'a [CompactString],
 }
@@ -102,7 +102,7 @@
     endpoints: impl Iterator<Item = &'a Endpoint>,
     engine: Option<&route::Engine>,
     prompt: Option<&Prompt>,
-    known: &Known<'_>,
+    known: &Inputs<'_>,
     random: &mut impl Rng,
 ) -> Option<Choice<'a>> {
     let all: Vec<&Endpoint> = endpoints.collect();
@@ -138,7 +138,7 @@
     candidates: &[&'a Endpoint],
     engine: &route::Engine,
     prompt: &Prompt,
-    known: &Known<'_>,
+    known: &Inputs<'_>,
 ) -> Option<Choice<'a>> {
     let favourites = rendezvous(candidates, prompt, known);
     let free_share = free_share(candidates, engine, known);
@@ -157,22 +157,22 @@
     cheapest(choices).map(|choice| Choice { free_share, ..choice })
 }
 
-fn has_document(endpoint: &Endpoint, prompt: &Prompt, known: &Known<'_>) -> bool {
+fn has_document(endpoint: &Endpoint, prompt: &Prompt, known: &Inputs<'_>) -> bool {
     let document = prompt.shared().last();
-    document.is_some_and(|part| known.homes.is_cached(endpoint.key, part.id, known.now_ms))
+    document.is_some_and(|part| known.prefix_index.is_cached(endpoint.key, part.id, known.now_ms))
 }
 
 /// Places that are taken at an engine, those included that others are expected to have taken unseen.
-fn filled(endpoint: &Endpoint, work: load::Work, known: &Known<'_>) -> u32 {
-    work.requests + known.book.expected_unreported(endpoint.key, known.now_ms)
+fn filled(endpoint: &Endpoint, work: load::Work, known: &Inputs<'_>) -> u32 {
+    work.requests + known.load_table.expected_unreported(endpoint.key, known.now_ms)
 }
 
 /// Share of the engines at which a prompt gets a slot and begins to be read within a moment.
-fn free_share(candidates: &[&Endpoint], engine: &route::Engine, known: &Known<'_>) -> f64 {
+fn free_share(candidates: &[&Endpoint], engine: &route::Engine, known: &Inputs<'_>) -> f64 {
     let is_free = |one: &&&Endpoint| {
-        let work = known.book.work_at(one.key, known.now_ms);
-        let place_ms = known.reading.slot_wait_ms(filled(one, work, known), engine.slots);
-        place_ms + known.reading.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
+        let work = known.load_table.work_at(one.key, known.now_ms);
+        let place_ms = known.prefill.slot_wait_ms(filled(one, work, known), engine.slots);
+        place_ms + known.prefill.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
     };
     let free = candidates.iter().filter(is_free).count();
     free as f64 / candidates.len().max(1) as f64
@@ -183,8 +183,9 @@
 
 /// Where the last shared part belongs, if nobody has it who takes requests. The first would not do: a few first parts
 /// are common to hundreds of documents, which would all go to the same few endpoints.
-fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, known: &Known<'_>) -> Favourites {
-    let is_new = |part: &&Part| !known.homes.is_cached_at_any(candidates, part.id, known.now_ms);
+fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, known: &Inputs<'_>) -> Favourites {
+    let is_new =
+        |part: &&Part| !known.prefix_index.is_cached_at_any(candidates, part.id, known.now_ms);
     let Some(part) = prompt.shared().last().filter(is_new) else {
         return [None; RENDEZVOUS_PARTS.len()];
     };
@@ -206,21 +207,21 @@
     engine: &route::Engine,
     prompt: &Prompt,
     favourites: Favourites,
-    known: &Known<'_>,
+    known: &Inputs<'_>,
 ) -> Choice<'a> {
-    let work = known.book.work_at(endpoint.key, known.now_ms);
-    let has_tokens = known.homes.cached_tokens(endpoint.key, &prompt.parts, known.now_ms);
+    let work = known.load_table.work_at(endpoint.key, known.now_ms);
+    let has_tokens = known.prefix_index.cached_tokens(endpoint.key, &prompt.parts, known.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
     let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
     let document_tokens = prompt.shared().last().map_or(0, |part| part.tokens).min(missing_tokens);
-    let document_ms = known.reading.prefill_ms(u64::from(document_tokens));
-    let beginning_ms = known.reading.prefill_ms(u64::from(missing_tokens - document_tokens));
+    let document_ms = known.prefill.prefill_ms(u64::from(document_tokens));
+    let beginning_ms = known.prefill.prefill_ms(u64::from(missing_tokens - document_tokens));
     let crowd_ms = f64::from(work.requests) * CROWD_MS
-        + known.reading.slot_wait_ms(filled(endpoint, work, known), engine.slots);
+        + known.prefill.slot_wait_ms(filled(endpoint, work, known), engine.slots);
     let first_ms =
-        known.reading.first_event_ms(work.unread_tokens + u64::from(unread_tokens)) + crowd_ms;
-    let lost_ms = (first_ms - known.patience_ms * PATIENCE_PART).max(0.0);
+        known.prefill.first_event_ms(work.unread_tokens + u64::from(unread_tokens)) + crowd_ms;
+    let lost_ms = (first_ms - known.max_wait_ms * PATIENCE_PART).max(0.0);
     let late_ms = (first_ms - known.target_ms * LATE_PART).max(0.0);
     let mut cost_ms = first_ms
         + late_ms * LATE_WEIGHT
@@ -228,8 +229,8 @@
         + document_ms * DOCUMENT_WEIGHT
         + beginning_ms * BEGINNING_WEIGHT
         + outside_ms(endpoint, known);
-    if known.pause_ms > 0 {
-        let late_share = known.pauses.late_share(endpoint.key, known.pause_ms, known.now_ms);
+    if known.pause_limit_ms > 0 {
+        let late_share = known.pauses.late_share(endpoint.key, known.pause_limit_ms, known.now_ms);
         cost_ms += late_share * UNEVEN_MS;
     }
     if let Some(place) = favourites.iter().position(|one| *one == Some(endpoint.key)) {
@@ -238,8 +239,8 @@
     Choice { endpoint, cost_ms, unread_tokens, work, first_ms, free_share: 1.0 }
 }
 
-fn plain_choice<'a>(endpoint: &'a Endpoint, known: &Known<'_>) -> Choice<'a> {
-    let work = known.book.work_at(endpoint.key, known.now_ms);
+fn plain_choice<'a>(endpoint: &'a Endpoint, known: &Inputs<'_>) -> Choice<'a> {
+    let work = known.load_table.work_at(endpoint.key, known.now_ms);
     let answer_ms = known.health.answer_ms(endpoint.key).unwrap_or(PLAIN_MS);
     let rounds = f64::from(work.requests) / f64::from(endpoint.slots.max(1));
     let first_ms = answer_ms * (1.0 + rounds);
@@ -248,7 +249,7 @@
 }
 
 /// What does not depend on the load.
-fn outside_ms(endpoint: &Endpoint, known: &Known<'_>) -> f64 {
+fn outside_ms(endpoint: &Endpoint, known: &Inputs<'_>) -> f64 {
     let zone_ms = if endpoint.zone == known.zone { 0.0 } else { OTHER_ZONE_MS };
     zone_ms + known.health.failed_share(endpoint.key, known.now_ms) * FAILURE_MS
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -264,18 +264,18 @@
         let homes = self.shared.homes();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
-        let known = choose::Known {
-            book: &book,
-            homes: &homes,
+        let known = choose::Inputs {
+            load_table: &book,
+            prefix_index: &homes,
             health: &health,
             pauses: &pauses,
-            pause_ms: job.route().pause_ms,
+            pause_limit_ms: job.route().pause_ms,
             zone: &self.shared.settings.zone,
             now_ms,
             target_ms: f64::from(job.route().target_ms),
-            patience_ms: job.stream_patience_ms() as f64,
+            max_wait_ms: job.stream_patience_ms() as f64,
             refused_zones: &job.refused_zones,
-            reading: &self.shared.reading(&service.name),
+            prefill: &self.shared.reading(&service.name),
         };
         choose::choose(
             fresh,
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
-use briarwinch::gateway::policy::choose::{self, Known};
+use briarwinch::gateway::policy::choose::{self, Inputs};
 use briarwinch::gateway::policy::{health, load, pauses, prefill, prefix_index};
 use briarwinch::gateway::request::{Part, Prompt};
 use briarwinch::gateway::route;
@@ -45,19 +45,19 @@
 }
 
 impl Entry {
-    fn known(&self) -> Known<'_> {
-        Known {
-            book: &self.book,
-            homes: &self.homes,
+    fn known(&self) -> Inputs<'_> {
+        Inputs {
+            load_table: &self.book,
+            prefix_index: &self.homes,
             health: &self.health,
-            reading: &self.reading,
+            prefill: &self.reading,
             pauses: &self.pauses,
-            pause_ms: 120,
+            pause_limit_ms: 120,
             zone: "a",
             now_ms: NOW_MS,
             target_ms: TARGET_MS,
             refused_zones: &[],
-            patience_ms: PATIENCE_MS,
+            max_wait_ms: PATIENCE_MS,
         }
     }
 
@@ -182,7 +182,7 @@
     let mut random = StdRng::seed_from_u64(8);
     entry.homes.record_sent(endpoints[3].key, &draft(0).parts, NOW_MS);
     entry.book.add(endpoints[3].key, work(60_000), NOW_MS);
-    let known = Known { target_ms: 600.0, ..entry.known() };
+    let known = Inputs { target_ms: 600.0, ..entry.known() };
     let chosen =
         choose::choose(endpoints.iter(), Some(&ENGINE), Some(&draft(0)), &known, &mut random);
     assert_ne!(chosen.expect("an endpoint").endpoint.key, endpoints[3].key);
@@ -372,7 +372,7 @@
     let mut random = StdRng::seed_from_u64(5);
     let entry = Entry::default();
     let plain = |refused: &[CompactString], endpoints: &[Endpoint], random: &mut StdRng| {
-        let known = Known { refused_zones: refused, ..entry.known() };
+        let known = Inputs { refused_zones: refused, ..entry.known() };
         let choice = choose::choose(endpoints.iter(), None, None, &known, random);
         choice.expect("an endpoint").endpoint.zone.clone()
     };
