--- a/src/gateway/policy/mod.rs
+++ b/src/gateway/policy/mod.rs
@@ -1,5 +1,7 @@
-//! Decisions of a forwarding entry, each with the load pattern that it answers: which endpoint, whether
-//! at all, how often again. No clock and no socket: all that is known, and the time, come in.
+//! Decisions of a forwarding entry: which endpoint gets a request, whether a request is admitted,
+//! and how often it is retried. Each module names the load pattern that it handles.
+//!
+//! Nothing here reads a clock or opens a socket: all state and the time are passed in.
 
 pub mod admission;
 pub mod backoff;
