--- a/src/gateway/policy/backoff.rs
+++ b/src/gateway/policy/backoff.rs
@@ -1,49 +1,53 @@
-//! Endpoints that have turned this entry away and said for how long they want nothing more from it. Pure.
+//! Backoff: for how long each endpoint that turned a request away asked this entry not to send
+//! more.
 //!
-//! The load pattern: a service with few slots under a burst. Its endpoints turn requests away; if entries
-//! go on sending to them, each such send costs the endpoint a connection and the request a retry.
+//! Load pattern: a service with few slots under a burst. Its endpoints turn requests away. Each
+//! further send to such an endpoint costs the endpoint a connection and the request a retry.
 
 use std::collections::HashMap;
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
 
-/// An endpoint that names a longer time is tried again after this one.
-const LONGEST_MS: u64 = 600_000;
+/// Cap on the wait that an endpoint may ask for.
+const MAX_WAIT_MS: u64 = 600_000;
 
+/// One requested wait.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    /// Tells the start that asked from later ones under the same id.
+struct Wait {
+    /// Start of the endpoint process that asked, so that a later process under the same id is not
+    /// held to it.
     started_unix_ms: u64,
     until_ms: u64,
 }
 
-/// The endpoints that this entry leaves alone.
+/// Endpoints to which this entry sends nothing for the time being.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
-    asked: HashMap<EndpointKey, Asked>,
+    waits: HashMap<EndpointKey, Wait>,
 }
 
 impl Backoff {
-    /// An endpoint wants nothing for so long.
+    /// Records that an endpoint asked for no requests during `wait_ms`. The longest wait counts: a
+    /// shorter one in a later answer does not end it.
     pub fn record_wait(&mut self, endpoint: &Endpoint, wait_ms: u32, now_ms: u64) {
-        let until_ms = now_ms + u64::from(wait_ms).min(LONGEST_MS);
+        let until_ms = now_ms + u64::from(wait_ms).min(MAX_WAIT_MS);
         let started_unix_ms = endpoint.started_unix_ms;
-        let before = self.asked.get(&endpoint.key);
-        let before = before.filter(|asked| asked.started_unix_ms == started_unix_ms);
-        let until_ms = before.map_or(until_ms, |asked| asked.until_ms.max(until_ms));
-        self.asked.insert(endpoint.key, Asked { started_unix_ms, until_ms });
+        let before = self.waits.get(&endpoint.key);
+        let before = before.filter(|wait| wait.started_unix_ms == started_unix_ms);
+        let until_ms = before.map_or(until_ms, |wait| wait.until_ms.max(until_ms));
+        self.waits.insert(endpoint.key, Wait { started_unix_ms, until_ms });
     }
 
-    /// How long an endpoint is still left alone; zero: it is not.
+    /// Returns how much of the wait is left; zero if requests may be sent.
     #[must_use]
     pub fn remaining_ms(&self, endpoint: &Endpoint, now_ms: u64) -> u64 {
-        let asked = self.asked.get(&endpoint.key);
-        let asked = asked.filter(|asked| asked.started_unix_ms == endpoint.started_unix_ms);
-        asked.map_or(0, |asked| asked.until_ms.saturating_sub(now_ms))
+        let wait = self.waits.get(&endpoint.key);
+        let wait = wait.filter(|wait| wait.started_unix_ms == endpoint.started_unix_ms);
+        wait.map_or(0, |wait| wait.until_ms.saturating_sub(now_ms))
     }
 
-    /// Forgets what is over.
+    /// Removes waits that are over.
     pub fn sweep(&mut self, now_ms: u64) {
-        self.asked.retain(|_, asked| now_ms < asked.until_ms);
+        self.waits.retain(|_, wait| now_ms < wait.until_ms);
     }
 }
