--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -1,118 +1,121 @@
-//! An entry's part of the retry budget that all entries share.
+//! An entry's share of the retry budget that all entries of the fleet have in common.
 //!
-//! Within any window, sends beyond the first of each request may come to a share of the requests
-//! and a fixed number more. No entry knows what the others spend, so each takes its part: the share
-//! of its own requests, and the fixed number divided by the entries. A restarted entry has forgotten
-//! what it spent; so only a part of the fixed number is given out.
+//! Within any sliding window, retries (sends beyond the first of each request) may amount to a
+//! ratio of the requests plus a fixed number. No entry knows how much of it the others spend, so
+//! each limits itself to its share: the ratio of its own requests, and the fixed number divided by
+//! the number of entries. A restarted entry no longer knows what it spent, so only part of the
+//! fixed number is given out.
 
 use std::collections::{HashMap, VecDeque};
 
 use compact_str::CompactString;
 
-/// Part of the budget that is used. What is kept back covers entries that restart within a window
-/// and those that are not known yet.
-const USED_PART: f64 = 0.6;
-/// Steps into which a window is cut.
-const STEPS: u64 = 20;
+/// Share of the budget that is given out. The rest covers entries that restart within a window and
+/// entries that are not known yet.
+const USED_SHARE: f64 = 0.6;
+/// Buckets of a sliding window.
+const BUCKETS: u64 = 20;
 
-/// What the operators allow.
+/// Retry budget set by the operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond that in a window, by all entries together.
+    /// Further retries in a window, for all entries together.
     pub extra: f64,
     pub window_ms: u64,
 }
 
-/// Entries of the largest fleet planned for.
-const LARGEST_FLEET: usize = 340;
+/// Entries of the largest fleet that is planned for.
+const MAX_FLEET: usize = 340;
 
-/// Among how many entries the fixed number is divided.
+/// Number of entries by which the fixed part of the budget is divided.
 ///
-/// An entry that hears of fewer others than before may be cut off from the rest, who spend their parts
-/// all the same, so its own part never grows. One that has just started does not know how many there
-/// are.
+/// The number never falls, so the share of an entry never grows: an entry that sees fewer entries
+/// than before may be partitioned from the rest of the fleet, which goes on spending its shares. An
+/// entry that has just started does not know the size of the fleet and assumes [`MAX_FLEET`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
     most: usize,
 }
 
 impl FleetSize {
-    /// So many entries are known now; `is_settled`: there was time to hear of all.
+    /// Takes the number of entries known now and returns the divisor. `is_settled` says that the
+    /// entry has run long enough to know all others.
     pub fn observe(&mut self, entries: usize, is_settled: bool) -> usize {
         if !is_settled {
-            return entries.max(LARGEST_FLEET);
+            return entries.max(MAX_FLEET);
         }
         self.most = self.most.max(entries);
         self.most
     }
 }
 
+/// Counts in one part of a window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Step {
+struct Bucket {
     number: u64,
     requests: u32,
     retries: u32,
 }
 
-/// The budgets of all services, as one entry keeps them.
+/// Retry budgets of all services, as one entry keeps them.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
-    allowed: BudgetConfig,
-    services: HashMap<CompactString, VecDeque<Step>>,
+    config: BudgetConfig,
+    services: HashMap<CompactString, VecDeque<Bucket>>,
 }
 
 impl RetryBudgets {
     #[must_use]
-    pub fn new(allowed: BudgetConfig) -> Self {
-        Self { allowed, services: HashMap::new() }
+    pub fn new(config: BudgetConfig) -> Self {
+        Self { config, services: HashMap::new() }
     }
 
-    /// Takes other figures from now on.
-    pub fn set(&mut self, allowed: BudgetConfig) {
-        self.allowed = allowed;
+    /// Replaces the configuration; counts are kept.
+    pub fn set(&mut self, config: BudgetConfig) {
+        self.config = config;
     }
 
-    /// A request for the service has come.
+    /// Counts a request for the service.
     pub fn record_request(&mut self, service: &str, now_ms: u64) {
-        self.step(service, now_ms).requests += 1;
+        self.bucket(service, now_ms).requests += 1;
     }
 
-    /// Whether this entry's part of the budget allows one more retry.
+    /// Returns whether this entry's share of the budget allows one more retry.
     pub fn has_room(&mut self, service: &str, entries: usize, now_ms: u64) -> bool {
-        let allowed = self.allowed;
-        self.step(service, now_ms);
-        let steps = &self.services[service];
-        let requests: u32 = steps.iter().map(|step| step.requests).sum();
-        let retries: u32 = steps.iter().map(|step| step.retries).sum();
-        let part = allowed.extra / entries.max(1) as f64;
-        let most = USED_PART * (allowed.ratio * f64::from(requests) + part);
+        let config = self.config;
+        self.bucket(service, now_ms);
+        let buckets = &self.services[service];
+        let requests: u32 = buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
+        let extra_share = config.extra / entries.max(1) as f64;
+        let most = USED_SHARE * (config.ratio * f64::from(requests) + extra_share);
         f64::from(retries + 1) <= most
     }
 
-    /// Takes one retry out, if this entry's part of the budget allows it.
+    /// Counts one retry if this entry's share of the budget allows it, and returns whether it does.
     pub fn try_spend(&mut self, service: &str, entries: usize, now_ms: u64) -> bool {
         let has_room = self.has_room(service, entries, now_ms);
         if has_room {
-            self.step(service, now_ms).retries += 1;
+            self.bucket(service, now_ms).retries += 1;
         }
         has_room
     }
 
-    fn step(&mut self, service: &str, now_ms: u64) -> &mut Step {
-        let number = now_ms * STEPS / self.allowed.window_ms.max(STEPS);
+    fn bucket(&mut self, service: &str, now_ms: u64) -> &mut Bucket {
+        let number = now_ms * BUCKETS / self.config.window_ms.max(BUCKETS);
         if !self.services.contains_key(service) {
             self.services.insert(service.into(), VecDeque::new());
         }
-        let steps = self.services.entry(service.into()).or_default();
-        while steps.front().is_some_and(|first| first.number + STEPS < number) {
-            steps.pop_front();
+        let buckets = self.services.entry(service.into()).or_default();
+        while buckets.front().is_some_and(|first| first.number + BUCKETS < number) {
+            buckets.pop_front();
         }
-        if steps.back().is_none_or(|last| last.number != number) {
-            steps.push_back(Step { number, ..Step::default() });
+        if buckets.back().is_none_or(|last| last.number != number) {
+            buckets.push_back(Bucket { number, ..Bucket::default() });
         }
-        let last = steps.len() - 1;
-        &mut steps[last]
+        let last = buckets.len() - 1;
+        &mut buckets[last]
     }
 }
