--- a/src/gateway/policy/pauses.rs
+++ b/src/gateway/policy/pauses.rs
@@ -1,38 +1,42 @@
-//! How evenly the engines deliver: the longest pause in each of the latest streams.
+//! Pauses between the events of recent streams, by engine.
 //!
-//! The load pattern: an engine reads prompts between the steps of the answers it writes. One that is
-//! slower than the others keeps its steps short enough until it reads long prompts, and then each
-//! event of its answers is a little late. That shows in no queue; only in the streams themselves.
+//! Load pattern: an engine prefills prompts between the decoding steps of running answers. An
+//! engine that is slower than the others keeps its steps short enough until it prefills long
+//! prompts; then each event of its answers is slightly late. No queue shows this, only the streams
+//! themselves.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::gateway::directory::EndpointKey;
 
-/// Streams that are remembered of one endpoint.
+/// Streams kept per endpoint.
 const MAX_STREAMS: usize = 24;
-/// How long a stream says something about its endpoint: what it reads changes with the traffic.
+/// How long a stream counts for its endpoint: what the endpoint prefills changes with the traffic.
 const RECENT_MS: u64 = 10_000;
-/// Shorter streams may have ended before a prompt was read beside them.
-const LEAST_EVENTS: u64 = 8;
-/// A longer pause is a stop of the endpoint or of this process, and says nothing about its steps.
+/// Shorter streams are ignored: they may have ended before a prompt was prefilled beside them.
+const MIN_EVENTS: u64 = 8;
+/// Longer pauses are ignored: the endpoint or this process was stopped, which says nothing about
+/// the engine's decoding steps.
 const STALL_MS: u64 = 1_000;
-/// Streams without a late event that stand for what is not known of an endpoint.
-const UNKNOWN_STREAMS: f64 = 4.0;
+/// Prior: this many streams without a late event are added to those observed.
+const PRIOR_STREAMS: f64 = 4.0;
 
+/// A stream that has ended.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
+struct Stream {
     longest_ms: u64,
     at_ms: u64,
 }
 
-/// The longest pauses of the latest streams, by endpoint.
+/// Longest pauses of recent streams, by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Pauses {
-    ended: HashMap<EndpointKey, VecDeque<Ended>>,
+    streams: HashMap<EndpointKey, VecDeque<Stream>>,
 }
 
 impl Pauses {
-    /// A stream of so many events has ended, with this as its longest pause.
+    /// Records a stream that has ended, its number of events and the longest pause between two of
+    /// them.
     pub fn record_stream(
         &mut self,
         endpoint: EndpointKey,
@@ -40,33 +44,33 @@
         longest_ms: u64,
         now_ms: u64,
     ) {
-        if events < LEAST_EVENTS || longest_ms > STALL_MS {
+        if events < MIN_EVENTS || longest_ms > STALL_MS {
             return;
         }
-        let ended = self.ended.entry(endpoint).or_default();
-        if ended.len() >= MAX_STREAMS {
-            ended.pop_front();
+        let streams = self.streams.entry(endpoint).or_default();
+        if streams.len() >= MAX_STREAMS {
+            streams.pop_front();
         }
-        ended.push_back(Ended { longest_ms, at_ms: now_ms });
+        streams.push_back(Stream { longest_ms, at_ms: now_ms });
     }
 
-    /// Share of the latest streams of an endpoint that had a pause beyond the limit.
+    /// Returns the share of recent streams of an endpoint that had a pause beyond the limit.
     #[must_use]
     pub fn late_share(&self, endpoint: EndpointKey, limit_ms: u32, now_ms: u64) -> f64 {
-        let Some(ended) = self.ended.get(&endpoint) else {
+        let Some(streams) = self.streams.get(&endpoint) else {
             return 0.0;
         };
-        let recent = ended.iter().filter(|one| now_ms < one.at_ms + RECENT_MS);
+        let recent = streams.iter().filter(|one| now_ms < one.at_ms + RECENT_MS);
         let (mut known, mut late) = (0_u32, 0_u32);
         for one in recent {
             known += 1;
             late += u32::from(one.longest_ms > u64::from(limit_ms));
         }
-        f64::from(late) / (f64::from(known) + UNKNOWN_STREAMS)
+        f64::from(late) / (f64::from(known) + PRIOR_STREAMS)
     }
 
-    /// Forgets endpoints that are gone.
+    /// Removes endpoints that are gone.
     pub fn retain(&mut self, is_known: impl Fn(EndpointKey) -> bool) {
-        self.ended.retain(|endpoint, _| is_known(*endpoint));
+        self.streams.retain(|endpoint, _| is_known(*endpoint));
     }
 }
