--- a/src/gateway/policy/prefix_index.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -1,7 +1,8 @@
-//! Which endpoint has which prompt parts in its memory, as far as the entries know.
+//! Prefix cache index: which endpoint has which prompt parts in its prefix cache, as far as the
+//! entries know.
 //!
-//! A part that an endpoint has read is not read again there. Entries note where they sent which
-//! part and tell each other; an endpoint that restarts or leaves loses its parts.
+//! An endpoint does not prefill a cached part again. Entries record which parts they sent where and
+//! tell each other; an endpoint that restarts or leaves loses its parts.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,21 +11,21 @@
 use crate::gateway::directory::{Endpoint, EndpointKey};
 use crate::gateway::request::Part;
 
-/// How long a part is taken to stay in an endpoint's memory after its last use: about as long as an
-/// engine takes to read as much as it holds.
-const STAYS_MS: u64 = 40_000;
-/// Parts remembered at most; about 4 MB.
+/// How long a part is assumed to stay cached after its last use: about the time an engine takes to
+/// prefill as many tokens as its cache holds.
+const RETENTION_MS: u64 = 40_000;
+/// Bound on the parts in the index; about 4 MB.
 const MAX_PARTS: usize = 50_000;
 
-/// How long the other entries go on what they were told of a part: they are told again while it is
-/// used, well before they forget it.
-const TELL_AGAIN_MS: u64 = 12_000;
+/// While a part is in use, the other entries are told of it again after this time, well before they
+/// drop it.
+const RESEND_MS: u64 = 12_000;
 
-/// Parts that wait to be told, at most. The oldest are dropped: that costs other entries' reading
-/// again, where growing would cost the process.
-const MAX_UNTOLD: usize = 2_000;
+/// Bound on the placements that wait to be sent. The oldest are dropped: other entries then have
+/// parts prefilled again, whereas a growing queue would exhaust memory.
+const MAX_UNSENT: usize = 2_000;
 
-/// Names a prompt part in messages between entries; eight bytes, where a number would take ten.
+/// Identifies a prompt part in messages between entries. Takes 8 bytes, where a varint may take 10.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartName([u8; 8]);
 
@@ -46,61 +47,66 @@
     pub part: PartName,
 }
 
+/// An endpoint that has a part.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Location {
     endpoint: EndpointKey,
     used_ms: u64,
-    /// When all entries last knew it.
-    told_ms: u64,
+    /// When all entries last knew of it.
+    sent_ms: u64,
 }
 
-/// Parts by where they are.
+/// Endpoints by prompt part.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixIndex {
-    held: HashMap<u64, Vec<Held>>,
-    /// Placement here and not yet told to the other entries.
-    untold: VecDeque<Placement>,
+    locations: HashMap<u64, Vec<Location>>,
+    /// Recorded here and not yet sent to the other entries.
+    unsent: VecDeque<Placement>,
 }
 
 impl PrefixIndex {
-    /// Notes that these parts were sent to an endpoint, by this entry.
+    /// Records that this entry sent these parts to an endpoint, and queues what the other entries
+    /// have to be told.
     pub fn record_sent(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
-            let told_ms = self.told_ms(endpoint, part.id);
-            if told_ms.is_none_or(|told_ms| now_ms >= told_ms + TELL_AGAIN_MS) {
-                if self.untold.len() >= MAX_UNTOLD {
-                    self.untold.pop_front();
+            let sent_ms = self.sent_ms(endpoint, part.id);
+            if sent_ms.is_none_or(|sent_ms| now_ms >= sent_ms + RESEND_MS) {
+                if self.unsent.len() >= MAX_UNSENT {
+                    self.unsent.pop_front();
                 }
-                self.untold.push_back(Placement { endpoint, part: PartName::of(part.id) });
-                self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms: now_ms });
+                self.unsent.push_back(Placement { endpoint, part: PartName::of(part.id) });
+                self.insert(part.id, Location { endpoint, used_ms: now_ms, sent_ms: now_ms });
             } else {
-                let told_ms = told_ms.unwrap_or(now_ms);
-                self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms });
+                let sent_ms = sent_ms.unwrap_or(now_ms);
+                self.insert(part.id, Location { endpoint, used_ms: now_ms, sent_ms });
             }
         }
     }
 
-    /// Notes parts that an endpoint holds, without telling the other entries.
+    /// Records parts that an endpoint has cached, without telling the other entries.
     pub fn record_cached(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
-            self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms: now_ms });
+            self.insert(part.id, Location { endpoint, used_ms: now_ms, sent_ms: now_ms });
         }
     }
 
-    /// Notes what another entry has told.
+    /// Records a placement that another entry told of.
     pub fn record_remote(&mut self, placed: Placement, now_ms: u64) {
-        let held = Held { endpoint: placed.endpoint, used_ms: now_ms, told_ms: now_ms };
-        self.hold(placed.part.id(), held);
+        let location = Location { endpoint: placed.endpoint, used_ms: now_ms, sent_ms: now_ms };
+        self.insert(placed.part.id(), location);
     }
 
-    /// The parts that were used last, at most this many, for an entry that has just started.
+    /// Returns the placements that were used last, at most `most`, for an entry that has just
+    /// started.
     #[must_use]
     pub fn most_recent(&self, most: usize) -> Vec<Placement> {
         let mut all: Vec<(u64, Placement)> = Vec::new();
-        for (part, held) in &self.held {
+        for (part, locations) in &self.locations {
             let part = PartName::of(*part);
             all.extend(
-                held.iter().map(|one| (one.used_ms, Placement { endpoint: one.endpoint, part })),
+                locations
+                    .iter()
+                    .map(|one| (one.used_ms, Placement { endpoint: one.endpoint, part })),
             );
         }
         all.sort_unstable_by_key(|(used_ms, _)| std::cmp::Reverse(*used_ms));
@@ -108,20 +114,24 @@
         all.into_iter().map(|(_, placed)| placed).collect()
     }
 
-    fn told_ms(&self, endpoint: EndpointKey, part: u64) -> Option<u64> {
-        self.held.get(&part)?.iter().find(|one| one.endpoint == endpoint).map(|one| one.told_ms)
+    fn sent_ms(&self, endpoint: EndpointKey, part: u64) -> Option<u64> {
+        self.locations
+            .get(&part)?
+            .iter()
+            .find(|one| one.endpoint == endpoint)
+            .map(|one| one.sent_ms)
     }
 
-    fn hold(&mut self, part: u64, new: Held) {
-        if self.held.len() >= MAX_PARTS {
+    fn insert(&mut self, part: u64, new: Location) {
+        if self.locations.len() >= MAX_PARTS {
             self.sweep(new.used_ms);
         }
-        let held = self.held.entry(part).or_default();
-        held.retain(|one| one.endpoint != new.endpoint);
-        held.push(new);
+        let locations = self.locations.entry(part).or_default();
+        locations.retain(|one| one.endpoint != new.endpoint);
+        locations.push(new);
     }
 
-    /// Tokens at the start of a prompt that an endpoint has already.
+    /// Returns the length in tokens of the prompt prefix that an endpoint has cached.
     #[must_use]
     pub fn cached_tokens(&self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) -> u32 {
         parts
@@ -131,46 +141,49 @@
             .sum()
     }
 
-    /// Whether any of these endpoints has the part.
+    /// Returns whether any of these endpoints has the part cached.
     #[must_use]
     pub fn is_cached_at_any(&self, endpoints: &[&Endpoint], part: u64, now_ms: u64) -> bool {
-        let fresh = |one: &&Held| now_ms < one.used_ms + STAYS_MS;
-        let mut held = self.held.get(&part).into_iter().flatten().filter(fresh);
-        held.any(|one| endpoints.iter().any(|endpoint| endpoint.key == one.endpoint))
+        let fresh = |one: &&Location| now_ms < one.used_ms + RETENTION_MS;
+        let mut locations = self.locations.get(&part).into_iter().flatten().filter(fresh);
+        locations.any(|one| endpoints.iter().any(|endpoint| endpoint.key == one.endpoint))
     }
 
-    /// Whether an endpoint has the part.
+    /// Returns whether an endpoint has the part cached.
     #[must_use]
     pub fn is_cached(&self, endpoint: EndpointKey, part: u64, now_ms: u64) -> bool {
-        let held = self.held.get(&part);
-        held.is_some_and(|held| {
-            held.iter().any(|one| one.endpoint == endpoint && now_ms < one.used_ms + STAYS_MS)
+        let locations = self.locations.get(&part);
+        locations.is_some_and(|locations| {
+            locations
+                .iter()
+                .any(|one| one.endpoint == endpoint && now_ms < one.used_ms + RETENTION_MS)
         })
     }
 
-    /// An endpoint has lost its memory.
+    /// Removes an endpoint that has lost its cache.
     pub fn remove_endpoint(&mut self, endpoint: EndpointKey) {
-        for held in self.held.values_mut() {
-            held.retain(|one| one.endpoint != endpoint);
+        for locations in self.locations.values_mut() {
+            locations.retain(|one| one.endpoint != endpoint);
         }
-        self.held.retain(|_, held| !held.is_empty());
+        self.locations.retain(|_, locations| !locations.is_empty());
     }
 
-    /// Takes out what was not used for long.
+    /// Removes parts that were not used within the retention time.
     pub fn sweep(&mut self, now_ms: u64) {
-        for held in self.held.values_mut() {
-            held.retain(|one| now_ms < one.used_ms + STAYS_MS);
+        for locations in self.locations.values_mut() {
+            locations.retain(|one| now_ms < one.used_ms + RETENTION_MS);
         }
-        self.held.retain(|_, held| !held.is_empty());
-        if self.held.len() >= MAX_PARTS {
-            // Forgetting costs only that parts are read again; growing would cost the process.
-            self.held.clear();
+        self.locations.retain(|_, locations| !locations.is_empty());
+        if self.locations.len() >= MAX_PARTS {
+            // Clearing only costs prefilling parts again; growing without bound would exhaust
+            // memory.
+            self.locations.clear();
         }
     }
 
-    /// What the other entries have not been told yet, at most this many.
+    /// Takes placements that the other entries have not been told of yet, at most `most`.
     pub fn take_unsent(&mut self, most: usize) -> Vec<Placement> {
-        let count = self.untold.len().min(most);
-        self.untold.drain(..count).collect()
+        let count = self.unsent.len().min(most);
+        self.unsent.drain(..count).collect()
     }
 }
