--- a/src/gateway/policy/warmup.rs
+++ b/src/gateway/policy/warmup.rs
@@ -1,15 +1,17 @@
-//! How many requests go to an endpoint that is cold. Pure.
+//! Request rate limits for cold endpoints.
 //!
-//! The load pattern: the endpoints of an availability zone come back at once, empty and cold, in the middle of
-//! a burst. To every entry they look like the least busy ones, so all send there at once; a cold endpoint
-//! that gets more than a few requests a second crashes, and all that were sent to it are lost.
+//! Load pattern: the endpoints of an availability zone come back all at once, empty and cold, in
+//! the middle of a burst. They look least busy to every entry, so all entries send there at once. A
+//! cold endpoint that gets more than a few requests per second crashes, and all requests sent to it
+//! are lost.
 //!
-//! Hundreds of entries share a bound of a dozen requests a second, and may not hear of each other. A share
-//! for each would be less than one request. So one entry alone sends to a cold endpoint: its keeper, by
-//! rendezvous hashing over the entries of the endpoint's zone. Entries whose views differ, while some start
-//! or are cut off, may take two for the keeper at a time, so each keeps to half of the bound. One that hears
-//! less than half of the entries that it knew is no keeper: the others may have put one in its place, and
-//! several such groups would each have a keeper of their own.
+//! Hundreds of entries share a limit of a dozen requests per second and may not know of each other;
+//! a share for each would be less than one request. So only one entry sends to a cold endpoint: its
+//! designated sender, chosen by rendezvous hashing over the entries of the endpoint's zone. Entries
+//! whose views differ, because some are starting or partitioned, may choose two senders at a time,
+//! so each keeps to half of the limit. An entry that hears less than half of the entries that it
+//! knew is no sender: the others may have replaced it, and several such groups would each have a
+//! sender of their own.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -20,44 +22,47 @@
 
 use crate::gateway::directory::EndpointKey;
 
-/// DesignatedSenders of one endpoint at a time, while views differ.
-const KEEPERS: f64 = 2.0;
-/// The bound holds for any second; what is sent in a little more may arrive within one.
+/// Designated senders of one endpoint at a time, while views differ.
+const MAX_SENDERS: f64 = 2.0;
+/// The limit holds for any second. The window is slightly longer, since requests sent within it may
+/// arrive within one second.
 const WINDOW_MS: u64 = 1_080;
-/// After a connection to an endpoint was refused it may have started again, cold, which the store tells only
-/// after its next beat.
+/// An endpoint that refused a connection may have restarted and be cold; the store shows that only
+/// after its next heartbeat.
 const SUSPECT_MS: u64 = 2_000;
-/// After an availability zone was taken back its endpoints may have turned cold just before, which arrives
-/// by another way.
+/// When an availability zone is taken back into service, its endpoints may have turned cold just
+/// before; that news arrives by another path.
 pub const TAKEN_BACK_MS: u64 = 1_000;
 
-/// Requests in a second that a cold endpoint may get from this entry, of this rate of its service.
+/// Returns how many requests per second one sender may send to a cold endpoint of a service with
+/// this cold rate.
 #[must_use]
 pub fn max_per_s_per_sender(per_s: f64, factor: f64, extra: f64) -> u32 {
-    let part = ((per_s * factor + extra) / KEEPERS).floor();
-    part.min(per_s.ceil()).max(1.0) as u32
+    let share = ((per_s * factor + extra) / MAX_SENDERS).floor();
+    share.min(per_s.ceil()).max(1.0) as u32
 }
 
-/// An entry that may be the keeper of endpoints.
+/// An entry that may be the designated sender of endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub addr: SocketAddr,
     pub zone: CompactString,
 }
 
-/// The candidates at one time; until when they were these.
+/// The candidates as known until `until_ms`.
 #[derive(Clone, Debug)]
 struct View {
     candidates: Vec<Candidate>,
-    /// This entry heard at least half of those that it knew.
+    /// Whether this entry heard at least half of the entries that it knew.
     hears_half: bool,
     until_ms: u64,
 }
 
-/// An entry's place among those that may send to an endpoint, the endpoint's own zone first.
+/// Position of an entry among those that may send to an endpoint; the entries of the endpoint's
+/// zone come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// Zero comes first.
+    /// Zero is the first.
     pub rank: usize,
     pub entries: usize,
 }
@@ -70,11 +75,11 @@
         Some(Position { rank, entries: self.candidates.len() })
     }
 
-    /// The one that sends to an endpoint of this zone.
-    fn keeper(&self, endpoint: EndpointKey, zone: &str) -> Option<SocketAddr> {
+    /// Returns the entry that sends to an endpoint of this zone.
+    fn sender(&self, endpoint: EndpointKey, zone: &str) -> Option<SocketAddr> {
         let has_zone = self.candidates.iter().any(|one| one.zone == zone);
-        let entitled = self.candidates.iter().filter(|one| !has_zone || one.zone == zone);
-        entitled.map(|one| one.addr).max_by_key(|addr| weight(endpoint, *addr))
+        let eligible = self.candidates.iter().filter(|one| !has_zone || one.zone == zone);
+        eligible.map(|one| one.addr).max_by_key(|addr| weight(endpoint, *addr))
     }
 }
 
@@ -85,17 +90,18 @@
     hasher.finish()
 }
 
-/// The candidates as this entry has seen them lately.
+/// Recent views of the candidates.
 ///
-/// A keeper acts only once it has been the keeper for the time in which the bound holds: where the views
-/// change quickly, one keeper after another would each spend the bound within the same second.
+/// An entry acts as sender only once it has been the sender throughout the window in which the
+/// limit holds: when views change quickly, one sender after another would each use up the limit
+/// within the same second.
 #[derive(Clone, Debug, Default)]
 pub struct DesignatedSenders {
     views: VecDeque<View>,
 }
 
 impl DesignatedSenders {
-    /// These are the candidates now; none while this entry does not know the others.
+    /// Records the current candidates; empty while this entry does not know the others.
     pub fn observe(&mut self, candidates: Vec<Candidate>, hears_half: bool, now_ms: u64) {
         let is_same =
             |last: &&mut View| last.hears_half == hears_half && last.candidates == candidates;
@@ -108,22 +114,23 @@
         }
     }
 
-    /// This entry's place among those that may send to an endpoint: the last one that it has had lately,
-    /// among the most entries. `None` while it does not know the others.
+    /// Returns the position of this entry among those that may send to an endpoint: the worst rank
+    /// in the recent views, among the highest number of entries. `None` while it does not know the
+    /// others.
     #[must_use]
     pub fn position(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> Option<Position> {
-        let standings: Option<Vec<Position>> =
+        let positions: Option<Vec<Position>> =
             self.views.iter().map(|view| view.position(own, endpoint, zone)).collect();
-        standings?
+        positions?
             .into_iter()
             .reduce(|a, b| Position { rank: a.rank.max(b.rank), entries: a.entries.max(b.entries) })
     }
 
-    /// Whether this entry has been the keeper of an endpoint for long enough.
+    /// Returns whether this entry has been the sender of an endpoint throughout the recent views.
     #[must_use]
     pub fn is_designated(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> bool {
-        let keeps = |view: &View| view.hears_half && view.keeper(endpoint, zone) == Some(own);
-        !self.views.is_empty() && self.views.iter().all(keeps)
+        let is_sender = |view: &View| view.hears_half && view.sender(endpoint, zone) == Some(own);
+        !self.views.is_empty() && self.views.iter().all(is_sender)
     }
 }
 
@@ -131,7 +138,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdLimit {
     pub until_ms: u64,
-    /// Zero where another entry is the keeper.
+    /// Zero if another entry is the sender.
     pub max_per_s: u32,
 }
 
@@ -142,12 +149,12 @@
 }
 
 impl ColdEndpoints {
-    fn allowed(&self, endpoint: EndpointKey, now_ms: u64) -> Option<ColdLimit> {
-        self.endpoints.get(&endpoint).copied().filter(|allowed| now_ms < allowed.until_ms)
+    fn limit(&self, endpoint: EndpointKey, now_ms: u64) -> Option<ColdLimit> {
+        self.endpoints.get(&endpoint).copied().filter(|limit| now_ms < limit.until_ms)
     }
 }
 
-/// This entry's latest sends to endpoints of services that know a cold endpoint's rate.
+/// Recent sends of this entry to endpoints of services with a cold rate.
 #[derive(Clone, Debug, Default)]
 pub struct ColdSends {
     at_ms: HashMap<EndpointKey, VecDeque<u64>>,
@@ -155,16 +162,16 @@
 }
 
 impl ColdSends {
-    /// A connection to the endpoint was refused, or not made in time.
+    /// Records that a connection to the endpoint was refused or timed out.
     pub fn record_refused(&mut self, endpoint: EndpointKey, now_ms: u64) {
         self.refused_ms.insert(endpoint, now_ms);
     }
 
-    /// Whether the endpoint may get one more request from this entry now.
+    /// Returns whether this entry may send one more request to the endpoint now.
     #[must_use]
-    pub fn has_room(&self, endpoint: EndpointKey, warming: &ColdEndpoints, now_ms: u64) -> bool {
-        let most = match warming.allowed(endpoint, now_ms) {
-            Some(allowed) => allowed.max_per_s,
+    pub fn has_room(&self, endpoint: EndpointKey, cold: &ColdEndpoints, now_ms: u64) -> bool {
+        let most = match cold.limit(endpoint, now_ms) {
+            Some(limit) => limit.max_per_s,
             None if self.is_suspect(endpoint, now_ms) => 1,
             None => return true,
         };
@@ -177,7 +184,7 @@
         self.refused_ms.get(&endpoint).is_some_and(|at_ms| now_ms < at_ms + SUSPECT_MS)
     }
 
-    /// A request goes to the endpoint now.
+    /// Records a request that is sent to the endpoint now.
     pub fn record_send(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let at_ms = self.at_ms.entry(endpoint).or_default();
         while at_ms.front().is_some_and(|sent_ms| now_ms >= sent_ms + WINDOW_MS) {
@@ -186,7 +193,7 @@
         at_ms.push_back(now_ms);
     }
 
-    /// Forgets what is of no matter any more.
+    /// Removes sends and refusals that are too old to matter.
     pub fn sweep(&mut self, now_ms: u64) {
         self.at_ms.retain(|_, at_ms| at_ms.back().is_some_and(|sent| now_ms < sent + WINDOW_MS));
         self.refused_ms.retain(|_, at_ms| now_ms < *at_ms + SUSPECT_MS);
