--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -1,18 +1,19 @@
-//! Which endpoint gets a request. Pure: all that is known comes in.
+//! Endpoint selection: which endpoint gets a request.
 //!
-//! The load pattern for engines: prompts of ten thousand tokens and more, most of it shared with
-//! other requests, between short urgent ones. A part that has to be read again costs every request
-//! at that endpoint the reading time, so requests go where their parts are, until the wait there is
-//! far longer than the reading would be elsewhere (bounded load). A part that nobody has goes to the
-//! endpoint that rendezvous hashing names, or to the second one while the first is busy, so that
+//! Load pattern for engines: prompts of ten thousand tokens and more, most of each shared with
+//! other requests, among short urgent ones. A part that is prefilled again costs every request at
+//! that endpoint the prefill time, so requests go where their parts are cached until the wait there
+//! is far longer than prefill elsewhere (bounded load). A part that no endpoint has cached goes to
+//! the first choice by rendezvous hashing, or to the second while the first is busy, so that
 //! entries that see it at the same time agree.
 //!
-//! What other entries have sent is known a moment late. If all of them weighed all endpoints, all
-//! would send to the one that was free a moment ago; so each weighs the endpoints that have the
-//! parts and a few others by lot (the power of d choices, Mitzenmacher 2001).
+//! Entries learn with a delay what the others have sent. If each compared all endpoints, all would
+//! send to the one that was free a moment ago. So each compares the endpoints that have the parts
+//! cached with a small random sample of the others (power of d choices, Mitzenmacher 2001).
 //!
-//! The load pattern for plain services: few slots, answers of some ten milliseconds, endpoints of
-//! unequal speed, some of which fail or hang. Requests go where the fewest are under way, by time.
+//! Load pattern for plain services: few slots, answers of some ten ms, endpoints of unequal speed,
+//! some of which fail or hang. Requests go to the endpoint with the shortest expected answer time,
+//! given its requests under way.
 
 use compact_str::CompactString;
 use rand::Rng;
@@ -24,44 +25,46 @@
 use crate::gateway::request::{Part, Prompt};
 use crate::gateway::route;
 
-/// What each running request adds to the time to a first event, by its part of each step.
-const CROWD_MS: f64 = 3.0;
-/// What the time to read a document again costs, beside that the request waits for it: the same time is taken
-/// from all that come later, and the document displaces others.
+/// Time that each running request adds to a first event, through its part of each decoding step.
+const PER_REQUEST_MS: f64 = 3.0;
+/// Weight of the time to prefill a document again, on top of the wait of the request itself: all
+/// later requests are delayed by the same time, and the document displaces others from the cache.
 const DOCUMENT_WEIGHT: f64 = 16.0;
-/// The same for a beginning that many documents share: it is read once at each engine and used for ever
-/// after. With more, all new documents would go to the few engines that have read it.
-const BEGINNING_WEIGHT: f64 = 1.0;
-/// Part of the latency target from which on a first event may be late: the expectation is off by about so
-/// much.
-const LATE_PART: f64 = 0.6;
-/// What a ms beyond that costs.
+/// The same for a prefix common to many documents, which each engine prefills once and then keeps.
+/// With a higher weight all new documents would go to the few engines that have it cached.
+const COMMON_PREFIX_WEIGHT: f64 = 1.0;
+/// Share of the latency target beyond which a first event may be late: the estimate is off by about
+/// that much.
+const LATE_SHARE: f64 = 0.6;
+/// Weight of each ms beyond that.
 const LATE_WEIGHT: f64 = 4.0;
-/// Part of the caller's patience from which on it may be gone before the first event.
-const PATIENCE_PART: f64 = 0.6;
-/// What a ms beyond that costs: more than any reading again, since the request is lost and what was
-/// read of it is read in vain.
-const LOST_WEIGHT: f64 = 20.0;
-/// By how many times the reading time the first and second choice by rendezvous go before others, for
-/// parts that nobody has. With one choice, what it could not take at once would be scattered and read
-/// in many places.
-const RENDEZVOUS_PARTS: [f64; 2] = [3.0, 2.1];
-/// Endpoints that are weighed beside those that have the parts: this part of them, and at least so
-/// many. Entries that weigh all of them choose the same one.
-const BY_LOT_PART: f64 = 0.1;
-const BY_LOT_LEAST: usize = 6;
-/// So many endpoints of an availability zone that refuse one request a connection mean that the zone is lost.
+/// Share of the wait that the client accepts beyond which it may have left before the first event.
+const TIMEOUT_SHARE: f64 = 0.6;
+/// Weight of each ms beyond that: higher than that of any prefill, since the request is lost and
+/// its prefill wasted.
+const TIMEOUT_WEIGHT: f64 = 20.0;
+/// Bonus of the first and the second choice by rendezvous hashing for parts that no endpoint has
+/// cached, as a multiple of the prefill time. With one choice only, the requests that it could not
+/// take at once would be scattered and prefilled in many places.
+const RENDEZVOUS_WEIGHTS: [f64; 2] = [3.0, 2.1];
+/// Size of the random sample that is compared with the endpoints that have the parts cached: this
+/// share of the candidates, and at least [`MIN_SAMPLE`]. Entries that compare all endpoints choose
+/// the same one.
+const SAMPLE_SHARE: f64 = 0.1;
+const MIN_SAMPLE: usize = 6;
+/// When this many endpoints of an availability zone refuse one request a connection, the zone
+/// counts as lost.
 const LOST_ZONE_REFUSALS: usize = 2;
-/// What an answer with a late event costs, beside one that is in time throughout.
-const UNEVEN_MS: f64 = 600.0;
-/// The way to another availability zone and back, and its price in bytes.
-const OTHER_ZONE_MS: f64 = 4.0;
-/// What a failed answer costs a caller: it comes back after about this time.
+/// Cost of an answer with a late event, compared with one whose events are all in time.
+const LATE_EVENT_MS: f64 = 600.0;
+/// Cost of another availability zone: the round trip and the price of the traffic.
+const CROSS_ZONE_MS: f64 = 4.0;
+/// Cost of a failed answer: the client retries after about this time.
 const FAILURE_MS: f64 = 400.0;
-/// Time an answer of a plain service takes, until one was seen.
-const PLAIN_MS: f64 = 20.0;
+/// Answer time of a plain service before any was observed.
+const PLAIN_ANSWER_MS: f64 = 20.0;
 
-/// What is known when a request is placed.
+/// State that the selection is based on.
 #[derive(Debug)]
 pub struct Inputs<'a> {
     pub load_table: &'a load::LoadTable,
@@ -69,59 +72,59 @@
     pub health: &'a health::Health,
     pub prefill: &'a prefill::PrefillModel,
     pub pauses: &'a pauses::Pauses,
-    /// Longest pause between events that is in time for the caller; zero where it does not matter.
+    /// Longest pause between events that is in time for the client; zero if there is no limit.
     pub pause_limit_ms: u32,
     pub zone: &'a str,
     pub now_ms: u64,
-    /// The first event is in time for the caller within this.
+    /// Latency target of the first event.
     pub target_ms: f64,
-    /// How long the caller waits for a first event.
+    /// How long the client waits for a first event.
     pub max_wait_ms: f64,
-    /// Availability zones of the endpoints to which this request found no connection, one for each.
+    /// Zones of the endpoints that refused this request a connection, one item per endpoint.
     pub refused_zones: &'a [CompactString],
 }
 
-/// An endpoint with what choosing it would mean.
+/// An endpoint and the expected effect of choosing it.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice<'a> {
     pub endpoint: &'a Endpoint,
     pub cost_ms: f64,
-    /// Prompt tokens that it has to read.
+    /// Prompt tokens that it has to prefill.
     pub unread_tokens: u32,
-    /// What is known to be under way there.
+    /// Work known to be under way there.
     pub work: load::Work,
-    /// Time until its first event, as expected.
+    /// Expected time to the first event.
     pub first_ms: f64,
-    /// Share of the engines at which nearly nothing waits.
+    /// Share of the engines that are free, see [`admission::FREE_WAIT_MS`].
     pub free_share: f64,
 }
 
-/// The endpoint for a request, out of those given. Endpoints that could not be reached just now are
-/// taken only when there is no other.
+/// Selects the endpoint for a request. Endpoints that are avoided because they were unreachable are
+/// used only if there are no others.
 pub fn choose<'a>(
     endpoints: impl Iterator<Item = &'a Endpoint>,
     engine: Option<&route::Engine>,
     prompt: Option<&Prompt>,
-    known: &Inputs<'_>,
+    inputs: &Inputs<'_>,
     random: &mut impl Rng,
 ) -> Option<Choice<'a>> {
     let all: Vec<&Endpoint> = endpoints.collect();
-    let is_open = |one: &&Endpoint| !known.health.is_avoided(one.key, known.now_ms);
+    let is_open = |one: &&Endpoint| !inputs.health.is_avoided(one.key, inputs.now_ms);
     let open: Vec<&Endpoint> = all.iter().copied().filter(is_open).collect();
     let mut candidates = if open.is_empty() { all } else { open };
-    leave_lost_zones(&mut candidates, known.refused_zones);
-    // Equal costs are decided by the order, which is drawn by lot: else all entries would take the
-    // same endpoint.
+    exclude_lost_zones(&mut candidates, inputs.refused_zones);
+    // The order decides between equal costs. It is random, since otherwise all entries would choose
+    // the same endpoint.
     candidates.shuffle(random);
     match (engine, prompt) {
-        (Some(engine), Some(prompt)) => choose_engine(&candidates, engine, prompt, known),
-        _ => cheapest(candidates.into_iter().map(|endpoint| plain_choice(endpoint, known))),
+        (Some(engine), Some(prompt)) => choose_engine(&candidates, engine, prompt, inputs),
+        _ => cheapest(candidates.into_iter().map(|endpoint| plain_choice(endpoint, inputs))),
     }
 }
 
-/// Leaves out the endpoints of zones that seem lost, unless there are no others. Where a zone is lost its
-/// idle endpoints look best, and a request would try one after the other.
-fn leave_lost_zones(candidates: &mut Vec<&Endpoint>, refused_zones: &[CompactString]) {
+/// Excludes the endpoints of zones that seem lost, unless there are no others. The idle endpoints
+/// of a lost zone look best, and a request would try them one after the other.
+fn exclude_lost_zones(candidates: &mut Vec<&Endpoint>, refused_zones: &[CompactString]) {
     let is_lost = |one: &&Endpoint| {
         refused_zones.iter().filter(|zone| **zone == one.zone).count() >= LOST_ZONE_REFUSALS
     };
@@ -138,64 +141,68 @@
     candidates: &[&'a Endpoint],
     engine: &route::Engine,
     prompt: &Prompt,
-    known: &Inputs<'_>,
+    inputs: &Inputs<'_>,
 ) -> Option<Choice<'a>> {
-    let favourites = rendezvous(candidates, prompt, known);
-    let free_share = free_share(candidates, engine, known);
-    let by_lot = (candidates.len() as f64 * BY_LOT_PART).ceil() as usize;
-    let mut others = by_lot.max(BY_LOT_LEAST);
-    let weighed = candidates.iter().copied().filter(|one| {
-        if favourites.contains(&Some(one.key)) || has_document(one, prompt, known) {
+    let preferred = rendezvous(candidates, prompt, inputs);
+    let free_share = free_share(candidates, engine, inputs);
+    let sample = (candidates.len() as f64 * SAMPLE_SHARE).ceil() as usize;
+    let mut remaining = sample.max(MIN_SAMPLE);
+    let compared = candidates.iter().copied().filter(|one| {
+        if preferred.contains(&Some(one.key)) || has_document(one, prompt, inputs) {
             return true;
         }
-        let is_drawn = others > 0;
-        others = others.saturating_sub(1);
-        is_drawn
+        let is_sampled = remaining > 0;
+        remaining = remaining.saturating_sub(1);
+        is_sampled
     });
     let choices =
-        weighed.map(|endpoint| engine_choice(endpoint, engine, prompt, favourites, known));
+        compared.map(|endpoint| engine_choice(endpoint, engine, prompt, preferred, inputs));
     cheapest(choices).map(|choice| Choice { free_share, ..choice })
 }
 
-fn has_document(endpoint: &Endpoint, prompt: &Prompt, known: &Inputs<'_>) -> bool {
+fn has_document(endpoint: &Endpoint, prompt: &Prompt, inputs: &Inputs<'_>) -> bool {
     let document = prompt.shared().last();
-    document.is_some_and(|part| known.prefix_index.is_cached(endpoint.key, part.id, known.now_ms))
+    document.is_some_and(|part| inputs.prefix_index.is_cached(endpoint.key, part.id, inputs.now_ms))
 }
 
-/// Places that are taken at an engine, those included that others are expected to have taken unseen.
-fn filled(endpoint: &Endpoint, work: load::Work, known: &Inputs<'_>) -> u32 {
-    work.requests + known.load_table.expected_unreported(endpoint.key, known.now_ms)
+/// Returns the occupied slots of an engine, including those that other entries are expected to have
+/// filled since their last report.
+fn occupied_slots(endpoint: &Endpoint, work: load::Work, inputs: &Inputs<'_>) -> u32 {
+    work.requests + inputs.load_table.expected_unreported(endpoint.key, inputs.now_ms)
 }
 
-/// Share of the engines at which a prompt gets a slot and begins to be read within a moment.
-fn free_share(candidates: &[&Endpoint], engine: &route::Engine, known: &Inputs<'_>) -> f64 {
+/// Returns the share of the engines at which a prompt gets a slot and begins to be prefilled within
+/// [`admission::FREE_WAIT_MS`].
+fn free_share(candidates: &[&Endpoint], engine: &route::Engine, inputs: &Inputs<'_>) -> f64 {
     let is_free = |one: &&&Endpoint| {
-        let work = known.load_table.work_at(one.key, known.now_ms);
-        let place_ms = known.prefill.slot_wait_ms(filled(one, work, known), engine.slots);
-        place_ms + known.prefill.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
+        let work = inputs.load_table.work_at(one.key, inputs.now_ms);
+        let slot_wait_ms =
+            inputs.prefill.slot_wait_ms(occupied_slots(one, work, inputs), engine.slots);
+        slot_wait_ms + inputs.prefill.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
     };
     let free = candidates.iter().filter(is_free).count();
     free as f64 / candidates.len().max(1) as f64
 }
 
-/// First and second choice by rendezvous.
-type Favourites = [Option<EndpointKey>; RENDEZVOUS_PARTS.len()];
+/// First and second choice by rendezvous hashing.
+type Preferred = [Option<EndpointKey>; RENDEZVOUS_WEIGHTS.len()];
 
-/// Where the last shared part belongs, if nobody has it who takes requests. The first would not do: a few first parts
-/// are common to hundreds of documents, which would all go to the same few endpoints.
-fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, known: &Inputs<'_>) -> Favourites {
+/// Returns where the last shared part belongs, if no candidate has it cached. The first part is
+/// unsuitable as a hash key: a few first parts are common to hundreds of documents, which would all
+/// go to the same few endpoints.
+fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, inputs: &Inputs<'_>) -> Preferred {
     let is_new =
-        |part: &&Part| !known.prefix_index.is_cached_at_any(candidates, part.id, known.now_ms);
+        |part: &&Part| !inputs.prefix_index.is_cached_at_any(candidates, part.id, inputs.now_ms);
     let Some(part) = prompt.shared().last().filter(is_new) else {
-        return [None; RENDEZVOUS_PARTS.len()];
+        return [None; RENDEZVOUS_WEIGHTS.len()];
     };
     let weight = |one: &Endpoint| xxh3::xxh3_64_with_seed(one.id.as_bytes(), part.id);
-    let mut best: [Option<(u64, EndpointKey)>; RENDEZVOUS_PARTS.len()] = Default::default();
+    let mut best: [Option<(u64, EndpointKey)>; RENDEZVOUS_WEIGHTS.len()] = Default::default();
     for one in candidates {
         let mut next = Some((weight(one), one.key));
-        for place in &mut best {
-            if next > *place {
-                std::mem::swap(place, &mut next);
+        for current in &mut best {
+            if next > *current {
+                std::mem::swap(current, &mut next);
             }
         }
     }
@@ -206,50 +213,51 @@
     endpoint: &'a Endpoint,
     engine: &route::Engine,
     prompt: &Prompt,
-    favourites: Favourites,
-    known: &Inputs<'_>,
+    preferred: Preferred,
+    inputs: &Inputs<'_>,
 ) -> Choice<'a> {
-    let work = known.load_table.work_at(endpoint.key, known.now_ms);
-    let has_tokens = known.prefix_index.cached_tokens(endpoint.key, &prompt.parts, known.now_ms);
+    let work = inputs.load_table.work_at(endpoint.key, inputs.now_ms);
+    let has_tokens = inputs.prefix_index.cached_tokens(endpoint.key, &prompt.parts, inputs.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
     let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
     let document_tokens = prompt.shared().last().map_or(0, |part| part.tokens).min(missing_tokens);
-    let document_ms = known.prefill.prefill_ms(u64::from(document_tokens));
-    let beginning_ms = known.prefill.prefill_ms(u64::from(missing_tokens - document_tokens));
-    let crowd_ms = f64::from(work.requests) * CROWD_MS
-        + known.prefill.slot_wait_ms(filled(endpoint, work, known), engine.slots);
-    let first_ms =
-        known.prefill.first_event_ms(work.unread_tokens + u64::from(unread_tokens)) + crowd_ms;
-    let lost_ms = (first_ms - known.max_wait_ms * PATIENCE_PART).max(0.0);
-    let late_ms = (first_ms - known.target_ms * LATE_PART).max(0.0);
+    let document_ms = inputs.prefill.prefill_ms(u64::from(document_tokens));
+    let common_prefix_ms = inputs.prefill.prefill_ms(u64::from(missing_tokens - document_tokens));
+    let concurrency_ms = f64::from(work.requests) * PER_REQUEST_MS
+        + inputs.prefill.slot_wait_ms(occupied_slots(endpoint, work, inputs), engine.slots);
+    let first_ms = inputs.prefill.first_event_ms(work.unread_tokens + u64::from(unread_tokens))
+        + concurrency_ms;
+    let timeout_risk_ms = (first_ms - inputs.max_wait_ms * TIMEOUT_SHARE).max(0.0);
+    let late_ms = (first_ms - inputs.target_ms * LATE_SHARE).max(0.0);
     let mut cost_ms = first_ms
         + late_ms * LATE_WEIGHT
-        + lost_ms * LOST_WEIGHT
+        + timeout_risk_ms * TIMEOUT_WEIGHT
         + document_ms * DOCUMENT_WEIGHT
-        + beginning_ms * BEGINNING_WEIGHT
-        + outside_ms(endpoint, known);
-    if known.pause_limit_ms > 0 {
-        let late_share = known.pauses.late_share(endpoint.key, known.pause_limit_ms, known.now_ms);
-        cost_ms += late_share * UNEVEN_MS;
+        + common_prefix_ms * COMMON_PREFIX_WEIGHT
+        + fixed_cost_ms(endpoint, inputs);
+    if inputs.pause_limit_ms > 0 {
+        let late_share =
+            inputs.pauses.late_share(endpoint.key, inputs.pause_limit_ms, inputs.now_ms);
+        cost_ms += late_share * LATE_EVENT_MS;
     }
-    if let Some(place) = favourites.iter().position(|one| *one == Some(endpoint.key)) {
-        cost_ms -= document_ms * RENDEZVOUS_PARTS[place];
+    if let Some(rank) = preferred.iter().position(|one| *one == Some(endpoint.key)) {
+        cost_ms -= document_ms * RENDEZVOUS_WEIGHTS[rank];
     }
     Choice { endpoint, cost_ms, unread_tokens, work, first_ms, free_share: 1.0 }
 }
 
-fn plain_choice<'a>(endpoint: &'a Endpoint, known: &Inputs<'_>) -> Choice<'a> {
-    let work = known.load_table.work_at(endpoint.key, known.now_ms);
-    let answer_ms = known.health.answer_ms(endpoint.key).unwrap_or(PLAIN_MS);
+fn plain_choice<'a>(endpoint: &'a Endpoint, inputs: &Inputs<'_>) -> Choice<'a> {
+    let work = inputs.load_table.work_at(endpoint.key, inputs.now_ms);
+    let answer_ms = inputs.health.answer_ms(endpoint.key).unwrap_or(PLAIN_ANSWER_MS);
     let rounds = f64::from(work.requests) / f64::from(endpoint.slots.max(1));
     let first_ms = answer_ms * (1.0 + rounds);
-    let cost_ms = first_ms + outside_ms(endpoint, known);
+    let cost_ms = first_ms + fixed_cost_ms(endpoint, inputs);
     Choice { endpoint, cost_ms, unread_tokens: 0, work, first_ms, free_share: 1.0 }
 }
 
-/// What does not depend on the load.
-fn outside_ms(endpoint: &Endpoint, known: &Inputs<'_>) -> f64 {
-    let zone_ms = if endpoint.zone == known.zone { 0.0 } else { OTHER_ZONE_MS };
-    zone_ms + known.health.failed_share(endpoint.key, known.now_ms) * FAILURE_MS
+/// Returns the part of the cost that does not depend on the load.
+fn fixed_cost_ms(endpoint: &Endpoint, inputs: &Inputs<'_>) -> f64 {
+    let zone_ms = if endpoint.zone == inputs.zone { 0.0 } else { CROSS_ZONE_MS };
+    zone_ms + inputs.health.failed_share(endpoint.key, inputs.now_ms) * FAILURE_MS
 }
