--- a/tests/gateway/backoff.rs
+++ b/tests/gateway/backoff.rs
@@ -1,13 +1,14 @@
-//! Endpoints that ask to be left alone for a while.
+//! Endpoints that ask entries to back off.
 
 use briarwinch::gateway::directory::Endpoint;
 use briarwinch::gateway::policy::backoff::Backoff;
 
 use crate::directory::endpoint;
 
-/// Guards against a shorter time, told in a later answer to an older request, that ends a longer one.
+/// Guards against a longer wait that is ended by a shorter one in a later answer to an older
+/// request.
 #[test]
-fn the_longest_time_that_an_endpoint_asked_for_counts() {
+fn a_shorter_wait_does_not_end_a_longer_one() {
     let mut backoff = Backoff::default();
     backoff.record_wait(&endpoint("one"), 4_000, 1_000);
     backoff.record_wait(&endpoint("one"), 500, 1_200);
@@ -16,9 +17,10 @@
     assert_eq!(backoff.remaining_ms(&endpoint("two"), 1_200), 0);
 }
 
-/// Guards against an endpoint that is left alone for what an earlier start of it asked for.
+/// Guards against an endpoint that gets no requests because its predecessor under the same id asked
+/// for a wait.
 #[test]
-fn a_new_start_of_an_endpoint_is_not_left_alone() {
+fn a_restarted_endpoint_is_not_held_to_the_wait_of_its_predecessor() {
     let mut backoff = Backoff::default();
     backoff.record_wait(&endpoint("one"), 4_000, 1_000);
     let next = Endpoint { started_unix_ms: 2, ..endpoint("one") };
@@ -27,9 +29,10 @@
     assert_eq!(backoff.remaining_ms(&next, 1_200), 500);
 }
 
-/// Guards against a time without end, which would take the endpoint out for as long as the entry lives.
+/// Guards against an unbounded wait, which would exclude the endpoint for the lifetime of the
+/// entry.
 #[test]
-fn no_endpoint_is_left_alone_for_ever() {
+fn waits_are_capped() {
     let mut backoff = Backoff::default();
     backoff.record_wait(&endpoint("one"), u32::MAX, 1_000);
     assert!(backoff.remaining_ms(&endpoint("one"), 1_000) <= 600_000);
