--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,5 +1,5 @@
-//! The shared retry budget: entries that know nothing of each other never spend too much in sum, and
-//! spend most of it when there is need.
+//! Shared retry budget: entries that know nothing of each other never exceed it in sum, and use
+//! most of it when needed.
 
 use briarwinch::gateway::policy::budget::{BudgetConfig, FleetSize, RetryBudgets};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 
 const ALLOWED: BudgetConfig = BudgetConfig { ratio: 0.2, extra: 54.0, window_ms: 10_000 };
 
-/// Retries of all entries in each window of the budget's length.
+/// Returns the highest number of retries by all entries in any window of the budget's length.
 fn most_in_a_window(spent_ms: &[u64]) -> usize {
     let in_window = |from: &u64| {
         spent_ms.iter().filter(|at| (*from..*from + ALLOWED.window_ms).contains(at)).count()
@@ -41,12 +41,12 @@
     }
 }
 
-/// An entry that restarts has forgotten what it spent, and gets its part of the fixed number again.
-/// Endpoints that are failing would see more repeats than the operators allow.
+/// A restarted entry no longer knows what it spent and gets its share of the fixed number again.
+/// Guards against failing endpoints that get more retries than the operators allow.
 #[test]
 fn a_restart_within_a_window_does_not_break_the_budget() {
     let mut spent = 0;
-    // Four entries spend all they may, and one of them does so once more after its restart.
+    // Four entries spend all they may, and one of them again after its restart.
     for _ in 0..5 {
         let mut budgets = RetryBudgets::new(ALLOWED);
         while budgets.try_spend("engine", 4, 60_000) {
@@ -56,10 +56,10 @@
     assert!(f64::from(spent) <= ALLOWED.extra, "{spent} in one window, with one restart of four");
 }
 
-/// An endpoint fails and the budget is used up. The failure that it gave is the caller's answer; asking
-/// whether a retry is possible must not use one up.
+/// An endpoint fails while the budget is used up, so its failure becomes the answer to the client.
+/// Guards against a query for room that itself uses up a retry.
 #[test]
-fn asking_for_room_takes_nothing() {
+fn has_room_spends_nothing() {
     let mut budgets = RetryBudgets::new(ALLOWED);
     let spent = (0..100).filter(|_| {
         let has_room = budgets.has_room("engine", 4, 60_000);
@@ -72,18 +72,19 @@
 }
 
 #[test]
-fn services_have_budgets_of_their_own() {
+fn services_have_separate_budgets() {
     let mut budgets = RetryBudgets::new(ALLOWED);
     while budgets.try_spend("engine", 1, 60_000) {}
     assert!(budgets.try_spend("ledger", 1, 60_000));
     assert!(!budgets.try_spend("engine", 1, 60_000));
-    assert!(budgets.try_spend("engine", 1, 75_000), "a window later there is room again");
+    assert!(budgets.try_spend("engine", 1, 75_000), "room again one window later");
 }
 
-/// Entries of a large fleet with unequal traffic lose sight of each other while a service fails. Each would
-/// take a larger part of the fixed number, and the service would see more retries than operators allow.
+/// Entries of a large fleet with unequal traffic lose contact with each other while a service
+/// fails. Guards against entries that then take a larger share of the fixed number, so that the
+/// service gets more retries than the operators allow.
 #[test]
-fn a_fleet_whose_views_disagree_stays_within_the_budget() {
+fn entries_with_different_views_of_the_fleet_stay_within_the_budget() {
     const SEED: u64 = 7;
     let allowed = BudgetConfig { ratio: 0.2, extra: 176.0, window_ms: 10_000 };
     for (entries, failing) in [(5, 0.14), (5, 0.5), (68, 0.14), (68, 0.5), (340, 0.5)] {
@@ -100,12 +101,12 @@
                 if is_restarted {
                     fleet[index] = (RetryBudgets::new(allowed), FleetSize::default());
                 }
-                let (budgets, sharers) = &mut fleet[index];
-                let sharing = sharers.observe(view, !is_restarted);
-                sharers.observe(entries, true);
+                let (budgets, fleet_size) = &mut fleet[index];
+                let divisor = fleet_size.observe(view, !is_restarted);
+                fleet_size.observe(entries, true);
                 budgets.record_request("ledger", now_ms);
                 requests_ms.push(now_ms);
-                while random.random_bool(failing) && budgets.try_spend("ledger", sharing, now_ms) {
+                while random.random_bool(failing) && budgets.try_spend("ledger", divisor, now_ms) {
                     spent_ms.push(now_ms);
                 }
             }
