--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,5 +1,5 @@
-//! Endpoints that name how many requests a second they take: whatever entries know of each other, together
-//! they keep to it, and they notice its end.
+//! Rate limits that endpoints set: entries keep to them together, whatever they know of each other,
+//! and notice when they end.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -10,12 +10,12 @@
 
 use crate::virtual_fleet::{Fleet, START_MS, TICK_MS, Trouble, key, troubles};
 
-/// The bound holds for any span of this length, once the limit has been named for so long.
+/// The bound holds for any span of this length, once the limit has been stated for [`CONTACT_MS`].
 const SPAN_MS: u64 = 4_000;
 const CONTACT_MS: u64 = 3_000;
-/// An entry is bound by an answer that it has passed on so long ago.
-const TOLD_MS: u64 = 500;
-/// From a send to the head of its answer.
+/// An entry is bound by the limit this long after it passed on the first answer with it.
+const BOUND_AFTER_MS: u64 = 500;
+/// Time from a send to the head of its answer.
 const ANSWER_MS: u64 = 100;
 
 fn rate(per_s: f64) -> Rate {
@@ -26,24 +26,24 @@
     1.5 * per_s * SPAN_MS as f64 / 1_000.0 + 5.0
 }
 
-/// What befell an entry lately.
+/// Recent events of an entry that matter for the bound.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    /// When it passed on an answer with the limit for the first time.
-    told_ms: Option<u64>,
-    /// Until when it is excused for having been cut off, frozen or started.
+    /// When it first passed on an answer with the limit.
+    bound_ms: Option<u64>,
+    /// Until when its sends are not counted, because it was partitioned, frozen or started.
     excused_ms: u64,
 }
 
 /// Entries that send to one endpoint whenever they may, as under a burst.
 struct Burst {
-    /// While the endpoint names it.
+    /// Set while the endpoint states the limit.
     limit: Option<Rate>,
     named_ms: u64,
     records: Vec<Record>,
-    /// Requests under way: when each is answered, by which entry it was sent, and when.
+    /// Requests under way: when each is answered, which entry sent it, and when.
     under_way: VecDeque<(u64, usize, u64)>,
-    /// Arrivals from entries that were told and are not excused.
+    /// Arrivals from entries that are bound and not excused.
     counted: VecDeque<u64>,
     total: usize,
     most: usize,
@@ -62,9 +62,9 @@
         }
     }
 
-    fn forget(&mut self, fleet: &Fleet, index: usize) {
+    fn reset(&mut self, fleet: &Fleet, index: usize) {
         self.records[index] =
-            Record { told_ms: None, excused_ms: fleet.now_ms + CONTACT_MS + SPAN_MS };
+            Record { bound_ms: None, excused_ms: fleet.now_ms + CONTACT_MS + SPAN_MS };
     }
 
     fn run_ms(&mut self, fleet: &mut Fleet, span_ms: u64) {
@@ -90,7 +90,7 @@
             }
             node.limits.record_answer(key(0), self.limit, sent_ms, now_ms, now_ms);
             if self.limit.is_some() {
-                self.records[index].told_ms.get_or_insert(now_ms);
+                self.records[index].bound_ms.get_or_insert(now_ms);
             }
         }
     }
@@ -116,8 +116,8 @@
         node.limits.record_send(key(0), now_ms);
         self.under_way.push_back((now_ms + ANSWER_MS, index, now_ms));
         self.total += 1;
-        let is_told = record.told_ms.is_some_and(|told_ms| now_ms >= told_ms + TOLD_MS);
-        if is_told && now_ms >= record.excused_ms {
+        let is_bound = record.bound_ms.is_some_and(|bound_ms| now_ms >= bound_ms + BOUND_AFTER_MS);
+        if is_bound && now_ms >= record.excused_ms {
             self.arrive(now_ms);
         }
     }
@@ -133,7 +133,7 @@
     }
 }
 
-fn play(entries: usize, zones: usize, per_s: f64, troubles: &[(Trouble, f64, u64)]) -> Burst {
+fn run_burst(entries: usize, zones: usize, per_s: f64, troubles: &[(Trouble, f64, u64)]) -> Burst {
     let mut fleet = Fleet::open(entries, zones, 0.02);
     fleet.run_ms(2_500);
     let mut burst = Burst::begin(&fleet, rate(per_s));
@@ -141,7 +141,7 @@
     for (trouble, share, pause_ms) in troubles {
         let restarted = fleet.strike(zones, &mut dead, (*trouble, *share));
         burst.records.resize_with(fleet.nodes.len(), Record::default);
-        restarted.into_iter().for_each(|index| burst.forget(&fleet, index));
+        restarted.into_iter().for_each(|index| burst.reset(&fleet, index));
         burst.run_ms(&mut fleet, *pause_ms);
     }
     burst
@@ -149,31 +149,32 @@
 
 proptest! {
     #![proptest_config(crate::cases(60))]
-    /// Guards against an endpoint in need that gets a limit's worth from each entry instead of from all.
+    /// Guards against a throttled endpoint that gets the rate of its limit from each entry instead
+    /// of from all together.
     #[test]
     fn entries_together_keep_to_a_limit(
         size in prop::sample::select(vec![(5, 3), (22, 3), (68, 5)]),
         per_s in prop::sample::select(vec![0.5, 2.0, 2.5, 9.0, 60.0]),
         troubles in troubles(),
     ) {
-        let burst = play(size.0, size.1, per_s, &troubles);
+        let burst = run_burst(size.0, size.1, per_s, &troubles);
         prop_assert!(burst.most as f64 <= bound(per_s), "{} in a span", burst.most);
     }
 }
 
-/// Guards against the same in the largest fleet, in which there are more entries than requests to share.
+/// The same in the largest fleet, in which there are more entries than requests to share.
 #[test]
 fn the_largest_fleet_keeps_to_a_limit_while_entries_die() {
     let troubles =
         [(Trouble::Heal, 0.0, 6_000), (Trouble::Kill, 0.3, 3_000), (Trouble::Heal, 0.0, 8_000)];
-    let burst = play(340, 7, 2.0, &troubles);
+    let burst = run_burst(340, 7, 2.0, &troubles);
     assert!(burst.most as f64 <= bound(2.0), "{} in a span", burst.most);
 }
 
-/// Guards against a limit that is kept by sending nothing, and against one that never ends for entries that
-/// have no share of it.
+/// Guards against a limit that is kept by sending nothing, and against one that never ends for
+/// entries without a share of it.
 #[test]
-fn a_limit_is_used_in_calm_and_its_end_is_known_everywhere() {
+fn a_limit_is_used_fully_and_its_end_reaches_all_entries() {
     for (entries, zones, used_s) in [(4, 3, 20), (22, 3, 20), (68, 5, 8), (340, 7, 4)] {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.run_ms(4_000);
@@ -191,9 +192,10 @@
     }
 }
 
-/// Guards against an answer to an older request that ends a limit which the endpoint has just named.
+/// Guards against an answer to an older request that ends a limit which the endpoint has just
+/// stated.
 #[test]
-fn an_answer_that_was_overtaken_does_not_end_a_limit() {
+fn an_overtaken_answer_does_not_end_a_limit() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
     assert!(limits.record_answer(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
     assert!(limits.record_answer(endpoint, None, 950, 1_050, START_MS).is_none());
@@ -202,9 +204,10 @@
     assert_eq!(limits.rate(endpoint), None);
 }
 
-/// Guards against peers that tell old news: a limit that has ended would return from them for ever.
+/// Guards against outdated updates from peers: a limit that has ended would return from them
+/// forever.
 #[test]
-fn the_newest_change_of_a_limit_counts_whoever_tells_it() {
+fn older_updates_do_not_replace_newer_ones() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
     let told = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
     assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_000).is_some());
@@ -213,21 +216,21 @@
     assert_eq!(limits.rate(endpoint), None);
     assert!(
         limits.apply_update(told(60, Some(rate(3.0))), 1_030).is_some(),
-        "named at the same time"
+        "stated at the same time"
     );
     assert_eq!(limits.rate(endpoint), Some(rate(3.0)));
 }
 
-/// Guards against datagrams that grow with the endpoints that are limited: each entry would be told of all of
-/// them five times a second.
+/// Guards against datagrams that grow with the number of limited endpoints: each entry would get
+/// all limits five times per second.
 #[test]
-fn what_is_known_of_many_limits_is_told_in_turns() {
+fn many_known_limits_are_sent_in_rotation() {
     const ENDPOINTS: usize = 600;
     let mut limits = Limits::default();
     for index in 0..ENDPOINTS {
         limits.record_answer(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
     }
-    assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "news");
+    assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "recent changes");
     let told: Vec<Vec<LimitUpdate>> =
         (0..16).map(|turn| limits.updates(10_000 + turn * 200)).collect();
     let most = told.iter().map(Vec::len).max().unwrap_or(0);
@@ -236,9 +239,9 @@
     assert_eq!(all.len(), ENDPOINTS);
 }
 
-/// Guards against an entry that knows no other, and takes the whole limit for its own.
+/// Guards against an entry that knows no other and takes the whole limit.
 #[test]
-fn an_entry_without_a_place_among_the_others_has_no_share() {
+fn an_entry_without_a_position_has_no_share() {
     assert_eq!(limits::share(rate(50.0), None), 0);
     let first = |entries| Some(Position { rank: 0, entries });
     assert_eq!(limits::share(rate(2.2), first(4)), 2);
@@ -246,6 +249,6 @@
     assert_eq!(
         limits::share(rate(0.0), first(1)),
         1,
-        "only an answer tells that a limit has ended"
+        "only an answer shows that a limit has ended"
     );
 }
