--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -1,4 +1,5 @@
-//! Cold endpoints: whatever entries know of each other, together they send no more than one bears.
+//! Cold endpoints: entries together send no more than one can take, whatever they know of each
+//! other.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,7 +13,7 @@
 const PER_S: f64 = 6.7;
 const FACTOR: f64 = 1.5;
 const EXTRA: f64 = 5.0;
-/// What an endpoint bears in any second.
+/// Requests that an endpoint can take in any second.
 const BOUND: f64 = PER_S * FACTOR + EXTRA;
 const ENDPOINTS: usize = 7;
 
@@ -20,7 +21,7 @@
 struct Burst {
     zones: usize,
     sends: Vec<ColdSends>,
-    warming: Vec<ColdEndpoints>,
+    cold: Vec<ColdEndpoints>,
     arrivals: HashMap<EndpointKey, VecDeque<u64>>,
     total: usize,
     most: usize,
@@ -32,24 +33,24 @@
         Self {
             zones,
             sends: vec![ColdSends::default(); entries],
-            warming: vec![ColdEndpoints::default(); entries],
+            cold: vec![ColdEndpoints::default(); entries],
             arrivals: HashMap::new(),
             total: 0,
             most: 0,
         }
     }
 
-    /// What the entry knew is lost with its process.
-    fn forget(&mut self, index: usize) {
+    /// A restarted process has lost its state.
+    fn reset(&mut self, index: usize) {
         self.sends[index] = ColdSends::default();
-        self.warming[index] = ColdEndpoints::default();
+        self.cold[index] = ColdEndpoints::default();
     }
 
     fn run_ms(&mut self, fleet: &mut Fleet, span_ms: u64) {
         let end_ms = fleet.now_ms + span_ms;
         while fleet.now_ms < end_ms {
             self.sends.resize_with(fleet.nodes.len(), ColdSends::default);
-            self.warming.resize_with(fleet.nodes.len(), ColdEndpoints::default);
+            self.cold.resize_with(fleet.nodes.len(), ColdEndpoints::default);
             for index in 0..fleet.nodes.len() {
                 if !fleet.nodes[index].is_silent {
                     self.send(fleet, index);
@@ -65,15 +66,15 @@
             let most_per_s = warmup::max_per_s_per_sender(PER_S, FACTOR, EXTRA);
             let allowed = |endpoint: usize| {
                 let zone = ZONES[endpoint % self.zones];
-                let keeps = node.exchange.keeps(key(endpoint), zone);
-                ColdLimit { until_ms: u64::MAX, max_per_s: if keeps { most_per_s } else { 0 } }
+                let is_sender = node.exchange.keeps(key(endpoint), zone);
+                ColdLimit { until_ms: u64::MAX, max_per_s: if is_sender { most_per_s } else { 0 } }
             };
-            self.warming[index].endpoints =
+            self.cold[index].endpoints =
                 (0..ENDPOINTS).map(|endpoint| (key(endpoint), allowed(endpoint))).collect();
         }
         for endpoint in (0..ENDPOINTS).map(key) {
-            let is_known = !self.warming[index].endpoints.is_empty();
-            if is_known && self.sends[index].has_room(endpoint, &self.warming[index], now_ms) {
+            let is_known = !self.cold[index].endpoints.is_empty();
+            if is_known && self.sends[index].has_room(endpoint, &self.cold[index], now_ms) {
                 self.sends[index].record_send(endpoint, now_ms);
                 self.arrive(endpoint, now_ms);
             }
@@ -91,14 +92,14 @@
     }
 }
 
-fn play(entries: usize, zones: usize, troubles: &[(Trouble, f64, u64)]) -> Burst {
+fn run_burst(entries: usize, zones: usize, troubles: &[(Trouble, f64, u64)]) -> Burst {
     let mut fleet = Fleet::open(entries, zones, 0.02);
     fleet.run_ms(2_500);
     let mut burst = Burst::begin(&fleet, zones);
     let mut dead = Vec::new();
     for (trouble, share, pause_ms) in troubles {
         let restarted = fleet.strike(zones, &mut dead, (*trouble, *share));
-        restarted.into_iter().for_each(|index| burst.forget(index));
+        restarted.into_iter().for_each(|index| burst.reset(index));
         burst.run_ms(&mut fleet, *pause_ms);
     }
     burst
@@ -106,33 +107,35 @@
 
 proptest! {
     #![proptest_config(crate::cases(60))]
-    /// Guards against cold endpoints that crash because entries that don't hear of each other add up.
+    /// Guards against cold endpoints that crash because the sends of entries that do not know of
+    /// each other add up.
     #[test]
-    fn cold_endpoints_get_no_more_than_they_bear(
+    fn cold_endpoints_stay_within_the_bound(
         size in prop::sample::select(vec![(5, 3), (22, 3), (68, 5)]),
         troubles in troubles(),
     ) {
-        let burst = play(size.0, size.1, &troubles);
+        let burst = run_burst(size.0, size.1, &troubles);
         prop_assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
     }
 }
 
-/// Guards against the same in the largest fleet, in which all start again at once.
+/// The same in the largest fleet, in which all entries restart at once.
 #[test]
-fn the_largest_fleet_keeps_the_bound_while_all_start_again() {
+fn the_largest_fleet_keeps_the_bound_while_all_entries_restart() {
     let troubles = [
         (Trouble::Split, 0.4, 2_500),
         (Trouble::Kill, 1.0, 1_000),
         (Trouble::Heal, 1.0, 4_000),
         (Trouble::CutOff, 0.3, 3_000),
     ];
-    let burst = play(340, 7, &troubles);
+    let burst = run_burst(340, 7, &troubles);
     assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
 }
 
-/// Guards against a bound that is kept by sending nothing: cold endpoints would idle through a burst.
+/// Guards against a bound that is kept by sending nothing: cold endpoints would idle through a
+/// burst.
 #[test]
-fn cold_endpoints_get_nearly_what_they_bear_in_calm() {
+fn cold_endpoints_get_nearly_their_full_rate_in_a_stable_fleet() {
     for (entries, zones) in [(5, 3), (22, 3), (68, 5), (340, 7)] {
         let mut fleet = Fleet::open(entries, zones, 0.02);
         fleet.run_ms(4_000);
@@ -145,17 +148,18 @@
     }
 }
 
-fn told(id: &str, cold_ms: u32, revision: u64) -> Event {
+fn event(id: &str, cold_ms: u32, revision: u64) -> Event {
     Event { change: Change::Present(endpoint(id)), revision, cold_ms }
 }
 
-/// Guards against an endpoint that turns cold without any other change and is taken for warm by who pulls.
+/// Guards against an endpoint that turns cold without any other change and is taken for warm by
+/// entries that pull the list.
 #[test]
-fn endpoints_that_turn_cold_are_news_also_for_peers() {
+fn peers_learn_that_an_endpoint_turned_cold() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
     let mut peer = directory.clone();
-    assert!(directory.follow([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(directory.follow([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
     let key = EndpointKey::of("one");
     assert_eq!(directory.cold_until_ms(key, 50_100), Some(53_000));
     let cold = directory.cold(50_200);
@@ -164,34 +168,39 @@
     assert_eq!(peer.cold_until_ms(key, 9_800), None);
 }
 
-/// Guards against beats that count down: each would have all entries pull the whole list again.
+/// Guards against heartbeats with a decreasing cold time, each of which would have all entries pull
+/// the whole list again.
 #[test]
-fn the_beats_of_a_cold_endpoint_are_no_news() {
+fn heartbeats_of_a_cold_endpoint_are_no_change() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
-    assert!(directory.follow([told("one", 3_000, 11)].into_iter(), 11, None, 50_000));
-    assert!(!directory.follow([told("one", 1_900, 12)].into_iter(), 12, None, 51_300));
+    assert!(directory.follow([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(!directory.follow([event("one", 1_900, 12)].into_iter(), 12, None, 51_300));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 51_300), Some(53_000));
-    assert!(directory.follow([told("one", 3_000, 13)].into_iter(), 13, None, 52_000), "cold again");
-    assert!(!directory.follow([told("one", 0, 14)].into_iter(), 14, None, 52_500));
+    assert!(
+        directory.follow([event("one", 3_000, 13)].into_iter(), 13, None, 52_000),
+        "cold again"
+    );
+    assert!(!directory.follow([event("one", 0, 14)].into_iter(), 14, None, 52_500));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 52_500), None);
 }
 
-/// Guards against an endpoint that restarts under its old id: the store tells only later that it is cold.
+/// Guards against an endpoint that restarts under its old id: the store shows only later that it is
+/// cold.
 #[test]
 fn an_endpoint_that_refused_a_connection_is_tried_with_one_request_a_second() {
-    let (mut sends, warming) = (ColdSends::default(), ColdEndpoints::default());
+    let (mut sends, cold) = (ColdSends::default(), ColdEndpoints::default());
     let endpoint = EndpointKey::of("one");
     sends.record_refused(endpoint, 10_000);
-    assert!(sends.has_room(endpoint, &warming, 10_100));
+    assert!(sends.has_room(endpoint, &cold, 10_100));
     sends.record_send(endpoint, 10_100);
-    assert!(!sends.has_room(endpoint, &warming, 10_900));
-    assert!(sends.has_room(endpoint, &warming, 12_000), "it said nothing of being cold");
+    assert!(!sends.has_room(endpoint, &cold, 10_900));
+    assert!(sends.has_room(endpoint, &cold, 12_000), "not reported as cold");
 }
 
-/// Guards against keepers that add up while islands of entries form, freeze and come together again.
+/// Guards against designated senders that add up while partitions form and heal and entries freeze.
 #[test]
-fn islands_that_come_together_again_keep_the_bound_of_cold_endpoints() {
+fn partitions_that_heal_keep_the_bound_of_cold_endpoints() {
     let troubles = [
         (Trouble::Split, 0.2138499146224673, 2_079),
         (Trouble::Start, 0.13758011075345475, 1_833),
@@ -202,6 +211,6 @@
         (Trouble::Freeze, 0.17724805226470408, 1_407),
         (Trouble::Heal, 0.9724002694868057, 2_731),
     ];
-    let burst = play(22, 3, &troubles);
+    let burst = run_burst(22, 3, &troubles);
     assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
 }
