--- a/src/gateway/policy/limits.rs
+++ b/src/gateway/policy/limits.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: an engine recovers, or is throttled, and asks for a few requests per second while
 //! the fleet goes on sending its share of a burst to it. Only the entries that it answers know the
-//! limit; the others send on until they are told. If each entry kept to the whole limit by itself,
+//! limit; the others send on until they learn it. If each entry kept to the whole limit by itself,
 //! the engine would get a multiple of it.
 //!
 //! So entries tell each other of limits, and each sends its share: a number of requests per
@@ -81,7 +81,7 @@
 struct State {
     stamp: u64,
     rate: Option<Rate>,
-    /// When the endpoint last stated the limit or a peer told of it; for an ended limit, when it
+    /// When the endpoint last stated the limit or a peer sent it; for an ended limit, when it
     /// ended.
     confirmed_ms: u64,
     changed_ms: u64,
--- a/src/gateway/policy/outage.rs
+++ b/src/gateway/policy/outage.rs
@@ -4,7 +4,7 @@
 //! Records of live endpoints expire while the store is down and reappear soon after it recovers, so
 //! a record that vanishes just after an outage is kept for a grace period. An endpoint that has
 //! really left must not get requests for longer than it goes on serving: an outage that hit this
-//! instance alone lets no record expire, and cannot be told from one that hit all.
+//! instance alone lets no record expire, and cannot be distinguished from one that hit all.
 
 use rand::Rng;
 
--- a/src/gateway/policy/prefix_index.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -17,8 +17,8 @@
 /// Bound on the parts in the index; about 4 MB.
 const MAX_PARTS: usize = 50_000;
 
-/// While a part is in use, the other entries are told of it again after this time, well before they
-/// drop it.
+/// While a part is in use, its placement is sent to the other entries again after this time, well
+/// before they drop it.
 const RESEND_MS: u64 = 12_000;
 
 /// Bound on the placements that wait to be sent. The oldest are dropped: other entries then have
@@ -65,8 +65,8 @@
 }
 
 impl PrefixIndex {
-    /// Records that this entry sent these parts to an endpoint, and queues what the other entries
-    /// have to be told.
+    /// Records that this entry sent these parts to an endpoint, and queues the placements to
+    /// send to the other entries.
     pub fn record_sent(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
             let sent_ms = self.sent_ms(endpoint, part.id);
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Records parts that an endpoint has cached, without telling the other entries.
+    /// Records parts that an endpoint has cached, without sending them to the other entries.
     pub fn record_cached(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
         for part in parts {
             self.insert(part.id, Location { endpoint, used_ms: now_ms, sent_ms: now_ms });
         }
     }
 
-    /// Records a placement that another entry told of.
+    /// Records a placement sent by another entry.
     pub fn record_remote(&mut self, placed: Placement, now_ms: u64) {
         let location = Location { endpoint: placed.endpoint, used_ms: now_ms, sent_ms: now_ms };
         self.insert(placed.part.id(), location);
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Takes placements that the other entries have not been told of yet, at most `most`.
+    /// Takes placements that were not sent to the other entries yet, at most `most`.
     pub fn take_unsent(&mut self, most: usize) -> Vec<Placement> {
         let count = self.unsent.len().min(most);
         self.unsent.drain(..count).collect()
--- a/src/gateway/policy/warmup.rs
+++ b/src/gateway/policy/warmup.rs
@@ -31,7 +31,7 @@
 /// after its next heartbeat.
 const SUSPECT_MS: u64 = 2_000;
 /// When an availability zone is taken back into service, its endpoints may have turned cold just
-/// before; that news arrives by another path.
+/// before; that information arrives by another path.
 pub const TAKEN_BACK_MS: u64 = 1_000;
 
 /// Returns how many requests per second one sender may send to a cold endpoint of a service with
