--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -128,9 +128,9 @@
             return Err(Failure::Closed);
         }
         self.note_cold_send(job, &endpoint, now_ms);
-        self.shared.limits().note(endpoint.key, now_ms);
+        self.shared.limits().record_send(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
-            self.shared.prefix_locations().place(endpoint.key, &prompt.parts, now_ms);
+            self.shared.prefix_locations().record_sent(endpoint.key, &prompt.parts, now_ms);
             if is_news(choice) {
                 self.shared.urgent_update.notify_one();
             }
@@ -194,7 +194,7 @@
         }
         pool::connect(endpoint.addr).await.map_err(|error| {
             self.unreachable(endpoint);
-            self.cold_sends.borrow_mut().refused(endpoint.key, self.now_ms());
+            self.cold_sends.borrow_mut().record_refused(endpoint.key, self.now_ms());
             Failure::NotSent(error)
         })
     }
@@ -208,7 +208,7 @@
     /// Notes a send to an endpoint that is, or may turn, cold.
     fn note_cold_send(&self, job: &job::Job, endpoint: &directory::Endpoint, now_ms: u64) {
         if job.service().warm_up.is_some() {
-            self.cold_sends.borrow_mut().note(endpoint.key, now_ms);
+            self.cold_sends.borrow_mut().record_send(endpoint.key, now_ms);
         }
     }
 
@@ -239,18 +239,22 @@
     /// Whether bytes of any answer came from the endpoint just now, after the send.
     pub(super) fn is_alive(&self, endpoint: EndpointKey, sent_ms: u64) -> bool {
         let health = self.health.borrow();
-        health.heard_ms(endpoint) > sent_ms && health.is_alive(endpoint, self.now_ms())
+        health.last_bytes_ms(endpoint) > sent_ms && health.is_alive(endpoint, self.now_ms())
     }
 
     /// Takes what the head of an answer says of the endpoint, to a request that was sent at `sent_ms`.
     fn heard(&self, endpoint: &directory::Endpoint, facts: &request::AnswerFacts, sent_ms: u64) {
         let now_ms = self.now_ms();
-        self.health.borrow_mut().heard(endpoint.key, now_ms);
+        self.health.borrow_mut().record_bytes(endpoint.key, now_ms);
         if let Some(load) = facts.load {
-            self.shared.load_table().take_report(endpoint.key, load.running + load.waiting, now_ms);
+            self.shared.load_table().record_report(
+                endpoint.key,
+                load.running + load.waiting,
+                now_ms,
+            );
         }
         if let Some(wait_ms) = facts.retry_after_ms {
-            self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
+            self.backoff.borrow_mut().record_wait(endpoint, wait_ms, now_ms);
         }
         let departure = departures::Departure::of(endpoint);
         if facts.is_leaving && self.shared.departures().record(departure, now_ms) {
@@ -259,7 +263,7 @@
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
-        let change = limits.answered(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
+        let change = limits.record_answer(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             lines::endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // The other entries send at their usual rate until they know.
@@ -269,13 +273,13 @@
 
     pub(super) fn unreachable(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().forget(endpoint.addr);
-        self.health.borrow_mut().unreachable(endpoint.key, self.now_ms());
+        self.health.borrow_mut().record_unreachable(endpoint.key, self.now_ms());
     }
 
     /// Another endpoint answered at this one's address.
     pub(super) fn misdirected(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().forget(endpoint.addr);
-        self.health.borrow_mut().misdirected(endpoint.key, self.now_ms());
+        self.health.borrow_mut().record_misdirected(endpoint.key, self.now_ms());
     }
 
     /// Reads the rest of a short answer, if it is there already, and keeps the connection.
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -119,7 +119,7 @@
     pub(super) outbox: RefCell<delivery::Outbox>,
     /// Time up to which the counts of each other entry are complete.
     pub(super) watermarks: RefCell<delivery::Watermarks>,
-    pub(super) sharers: Cell<budget::Sharers>,
+    pub(super) sharers: Cell<budget::FleetSize>,
     pub(super) socket: UdpSocket,
     /// Whether this entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
@@ -326,7 +326,7 @@
         for endpoint in directory.endpoints() {
             let old = before.find(endpoint.key);
             if old.is_some_and(|old| old.started_unix_ms != endpoint.started_unix_ms) {
-                self.shared.prefix_locations().forget(endpoint.key);
+                self.shared.prefix_locations().remove_endpoint(endpoint.key);
             }
             if old.is_none_or(|old| old != endpoint) {
                 slog::info!(self.log, "endpoint known"; "endpoint" => endpoint.id.as_str(),
@@ -345,7 +345,7 @@
                 "revision" => directory.revision(), "source" => source);
         }
         for old in before.endpoints().iter().filter(|old| directory.find(old.key).is_none()) {
-            self.shared.prefix_locations().forget(old.key);
+            self.shared.prefix_locations().remove_endpoint(old.key);
             slog::info!(self.log, "endpoint gone"; "endpoint" => old.id.as_str(),
                 "revision" => directory.revision(), "source" => source);
         }
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -49,11 +49,15 @@
     }
 
     /// Applies endpoint limits received from a peer.
-    pub(in crate::gateway) fn apply_peer_limits(&self, received: &[limits::Told], now_ms: u64) {
+    pub(in crate::gateway) fn apply_peer_limits(
+        &self,
+        received: &[limits::LimitUpdate],
+        now_ms: u64,
+    ) {
         let directory = self.directory.borrow();
         let mut limits = self.shared.limits();
         for one in received {
-            let change = limits.adopt(*one, now_ms);
+            let change = limits.apply_update(*one, now_ms);
             if let (Some(change), Some(endpoint)) = (change, directory.find(one.endpoint)) {
                 lines::endpoint_limit(&self.log, &endpoint.id, change, "peer");
             }
@@ -93,8 +97,8 @@
         table: Option<&route::Table>,
         directory: &directory::Directory,
         now_ms: u64,
-    ) -> warmup::Warming {
-        let mut warming = warmup::Warming::default();
+    ) -> warmup::ColdEndpoints {
+        let mut warming = warmup::ColdEndpoints::default();
         let (Some(table), Some(rate)) = (table, self.shared.settings.cold_rate) else {
             return warming;
         };
@@ -106,7 +110,7 @@
         let exchange = self.exchange.borrow();
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
-            let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
+            let most_per_s = warmup::max_per_s_per_sender(warm_up.per_s, rate.factor, rate.extra);
             for endpoint in directory.accepting(&service.name) {
                 let reinstated_until_ms =
                     reinstated_at_ms.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
@@ -116,9 +120,9 @@
                     continue;
                 };
                 let is_assigned = exchange.is_sole_sender(endpoint.key, &endpoint.zone);
-                let allowed = warmup::Allowed {
+                let allowed = warmup::ColdLimit {
                     until_ms,
-                    most_per_s: if is_assigned { most_per_s } else { 0 },
+                    max_per_s: if is_assigned { most_per_s } else { 0 },
                 };
                 warming.endpoints.insert(endpoint.key, allowed);
             }
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -15,7 +15,7 @@
 
 use crate::gateway::control::{Control, Holder, Platform};
 use crate::gateway::duties::election;
-use crate::gateway::policy::{load, reading};
+use crate::gateway::policy::{load, prefill};
 use crate::gateway::{directory, route};
 use crate::scaling::{Plan, Planner, Seen};
 use crate::store::Condition;
@@ -51,8 +51,8 @@
 /// Returns the work at an endpoint in slots: its requests in progress, or its prompt backlog if that counts
 /// for more.
 #[must_use]
-pub fn busy_slots(work: load::Work, slots: u32, reading: &reading::Reading) -> f64 {
-    let backlog = reading.ms(work.unread_tokens) / BUSY_BACKLOG_MS * f64::from(slots);
+pub fn busy_slots(work: load::Work, slots: u32, reading: &prefill::PrefillModel) -> f64 {
+    let backlog = reading.prefill_ms(work.unread_tokens) / BUSY_BACKLOG_MS * f64::from(slots);
     f64::from(work.requests).max(backlog)
 }
 
@@ -203,7 +203,7 @@
                 let before = ordered.count(&target).unwrap_or(live);
                 let slots = endpoints.iter().map(|one| one.slots).max().unwrap_or(1);
                 let book = control.shared.load_table();
-                let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
+                let work = endpoints.iter().map(|one| book.work_at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
                 let demand =
                     Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -9,7 +9,7 @@
 /// What forbids sends to endpoints, as of one moment.
 pub(super) struct Eligibility<'a> {
     snapshot: &'a shared::Snapshot,
-    cold_sends: Ref<'a, warmup::Sends>,
+    cold_sends: Ref<'a, warmup::ColdSends>,
     limits: MutexGuard<'a, limits::Limits>,
     departures: MutexGuard<'a, departures::Departures>,
     backoff: Ref<'a, backoff::Backoff>,
@@ -22,7 +22,7 @@
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
             && !self.departures.contains(endpoint)
-            && self.backoff.left_ms(endpoint, self.now_ms) == 0
+            && self.backoff.remaining_ms(endpoint, self.now_ms) == 0
     }
 }
 
@@ -48,6 +48,6 @@
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
         let endpoints = snapshot.accepting(&job.service().name, job.moving_key(), now_ms);
-        endpoints.map(|endpoint| backoff.left_ms(endpoint, now_ms)).min().unwrap_or(0)
+        endpoints.map(|endpoint| backoff.remaining_ms(endpoint, now_ms)).min().unwrap_or(0)
     }
 }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -71,7 +71,7 @@
     let newest = [own, forwarded].into_iter().flatten().max_by_key(|(lease, _)| lease.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
-        (limits.told(now_ms), limits.newest_stamp())
+        (limits.updates(now_ms), limits.newest_stamp())
     };
     LocalState {
         age_ms: control.shared.time.age_ms(),
@@ -124,7 +124,7 @@
     let sharing = peers.budget_sharers(now_ms);
     control.shared.live_entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
-    let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
+    let sharing = sharers.observe(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
     control.shared.retry_budget_divisor.store(sharing, Ordering::Relaxed);
     control.shared.serving_peers.store(peers.serving_count(now_ms), Ordering::Relaxed);
@@ -190,7 +190,7 @@
         Message::Placements(placed) => {
             control.exchange.borrow_mut().forward(placed.hop, &placed.parts);
             let mut homes = shared.prefix_locations();
-            placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
+            placed.parts.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
         }
         Message::Limits(limits) => control.apply_peer_limits(&limits, now_ms),
         Message::Departures(departures) => control.apply_peer_departures(&departures, now_ms),
@@ -216,7 +216,7 @@
 
 fn handle_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
-    shared.gate.take(state.gate, now_ms);
+    shared.gate.merge_ages(state.gate, now_ms);
     control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(lease) = state.lease.filter(|lease| lease.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= lease.version;
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -17,7 +17,7 @@
 
 use crate::gateway::fleet::message::{Message, State, Work};
 use crate::gateway::fleet::peers::Peers;
-use crate::gateway::policy::{gate, homes, limits, load, warmup};
+use crate::gateway::policy::{admission, limits, load, prefix_index, warmup};
 use crate::gateway::{departures, directory, evacuation};
 use crate::lease;
 
@@ -47,9 +47,9 @@
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
-    pub gate: gate::Ages,
+    pub gate: admission::Ages,
     pub evacuations: evacuation::Snapshot,
-    pub limits: Vec<limits::Told>,
+    pub limits: Vec<limits::LimitUpdate>,
     /// Stamp of the newest change of an endpoint's limit.
     pub limits_stamp: u64,
     pub departures: Vec<departures::Departure>,
@@ -141,7 +141,7 @@
     rejoining_until_ms: u64,
     /// Since when this entry has continuously aggregated or had an aggregator.
     joined_since_ms: Option<u64>,
-    keepers: warmup::Keepers,
+    keepers: warmup::DesignatedSenders,
     /// Since when this entry has aggregated.
     aggregating_since_ms: Option<u64>,
     last: LastSent,
@@ -150,9 +150,9 @@
     /// Sums have changed since they were last sent to the other zones.
     is_zone_sum_due: bool,
     /// Placements to forward to the own zone.
-    zone_queue: Vec<homes::Placed>,
+    zone_queue: Vec<prefix_index::Placement>,
     /// Placements to forward to other zones.
-    remote_queue: Vec<homes::Placed>,
+    remote_queue: Vec<prefix_index::Placement>,
 }
 
 impl Exchange {
@@ -169,7 +169,7 @@
             last_heard_ms: 0,
             rejoining_until_ms: 0,
             joined_since_ms: None,
-            keepers: warmup::Keepers::default(),
+            keepers: warmup::DesignatedSenders::default(),
             aggregating_since_ms: None,
             last: LastSent::default(),
             last_work: Vec::new(),
@@ -205,7 +205,7 @@
     /// one.
     #[must_use]
     pub fn is_sole_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
-        self.keepers.is_keeper(self.identity.addr, endpoint, zone)
+        self.keepers.is_designated(self.identity.addr, endpoint, zone)
     }
 
     /// Returns the rank of this entry among those that may send to an endpoint of this zone, or `None` if it
@@ -215,8 +215,8 @@
         &self,
         endpoint: directory::EndpointKey,
         zone: &str,
-    ) -> Option<warmup::Standing> {
-        self.keepers.standing(self.identity.addr, endpoint, zone)
+    ) -> Option<warmup::Position> {
+        self.keepers.position(self.identity.addr, endpoint, zone)
     }
 
     fn update_warmup_candidates(&mut self, now_ms: u64) {
@@ -226,7 +226,7 @@
         let has_quorum = self.peers.has_quorum(now_ms);
         let candidates =
             if is_known { self.peers.warmup_candidates(has_quorum, now_ms) } else { Vec::new() };
-        self.keepers.see(candidates, has_quorum, now_ms);
+        self.keepers.observe(candidates, has_quorum, now_ms);
     }
 
     /// Returns the messages to send now. With `has_urgent_work`, load was added that others have to know at
@@ -236,8 +236,8 @@
         now_ms: u64,
         local: &LocalState,
         has_urgent_work: bool,
-        book: &mut load::Book,
-        homes: &mut homes::Homes,
+        book: &mut load::LoadTable,
+        homes: &mut prefix_index::PrefixIndex,
     ) -> Vec<Outgoing> {
         if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + AGGREGATOR_TIMEOUT_MS {
             self.rejoining_until_ms = now_ms + REJOIN_MS;
@@ -257,7 +257,7 @@
         self.update_warmup_candidates(now_ms);
         let is_handover =
             aggregating_since_ms.is_some_and(|since_ms| now_ms < since_ms + HANDOVER_MS);
-        book.set_told(role == Role::Member || is_handover);
+        book.set_aggregated(role == Role::Member || is_handover);
         book.sweep(now_ms);
         let mut out = Vec::new();
         self.send_state(now_ms, local, role, &mut out);
@@ -325,7 +325,7 @@
     }
 
     /// Processes part of a load table.
-    pub fn handle_work(&mut self, work: &Work, book: &mut load::Book, now_ms: u64) {
+    pub fn handle_work(&mut self, work: &Work, book: &mut load::LoadTable, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
                 if self.peers.outranks_own(work.from) {
@@ -338,6 +338,6 @@
             }
             load::Source::Entry(_) => {}
         }
-        book.take(work.source.clone(), work.origin, &work.rows, now_ms);
+        book.apply(work.source.clone(), work.origin, &work.rows, now_ms);
     }
 }
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -5,7 +5,7 @@
 use super::{AGGREGATOR_TIMEOUT_MS, Exchange, LocalState, Outgoing, Role};
 use crate::gateway::fleet::message::{Hop, Message, Placements, State, Work};
 use crate::gateway::fleet::peers::{Scope, roster};
-use crate::gateway::policy::{homes, load};
+use crate::gateway::policy::{load, prefix_index};
 
 /// Interval at which an entry sends its load while that changes.
 const WORK_MS: u64 = 100;
@@ -140,7 +140,7 @@
         &mut self,
         now_ms: u64,
         has_urgent_work: bool,
-        book: &mut load::Book,
+        book: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         let is_due = now_ms >= self.last.work_ms + WORK_MS;
@@ -149,7 +149,7 @@
         }
         let rows = book.rows();
         let is_old = now_ms >= self.last.work_ms + UNCHANGED_MS;
-        let news = book.take_news(MAX_ROWS);
+        let news = book.take_updates(MAX_ROWS);
         let tables = if !is_due {
             vec![load::Rows::update(news)]
         } else if rows != self.last_work || is_old {
@@ -183,16 +183,16 @@
         &mut self,
         now_ms: u64,
         is_handover: bool,
-        book: &mut load::Book,
+        book: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         if now_ms < self.last.sums_round_ms + SUMS_MS {
             return;
         }
         self.last.sums_round_ms = now_ms;
-        book.take_news(0);
+        book.take_updates(0);
         // The book has no table for this entry's own boot, so nothing is subtracted from the sums.
-        let (_, sums) = book.table_for(self.identity.boot, now_ms);
+        let (_, sums) = book.table_excluding(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
         self.is_zone_sum_due |= is_changed;
@@ -210,7 +210,7 @@
         self.last.sums_ms = now_ms;
         self.last_sums = sums;
         for (addr, boot) in self.peers.members(now_ms) {
-            let (origin, rows) = book.table_for(boot, now_ms);
+            let (origin, rows) = book.table_excluding(boot, now_ms);
             let tables = load::Rows::split(&rows, MAX_ROWS);
             self.push_work(&[addr], &load::Source::Others, origin, tables, out);
         }
@@ -235,9 +235,9 @@
     }
 
     /// Queues the placements that an aggregator has made itself.
-    pub(super) fn queue_placements(&mut self, homes: &mut homes::Homes) {
+    pub(super) fn queue_placements(&mut self, homes: &mut prefix_index::PrefixIndex) {
         for _ in 0..MAX_PLACEMENT_MESSAGES {
-            let placed = homes.take_untold(MAX_PLACEMENTS);
+            let placed = homes.take_unsent(MAX_PLACEMENTS);
             if placed.is_empty() {
                 return;
             }
@@ -248,7 +248,7 @@
     pub(super) fn send_placements(
         &self,
         role: Role,
-        homes: &mut homes::Homes,
+        homes: &mut prefix_index::PrefixIndex,
         out: &mut Vec<Outgoing>,
     ) {
         let aggregator = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
@@ -257,7 +257,7 @@
             None => (Hop::Final, self.peers.random_peers()),
         };
         for _ in 0..MAX_PLACEMENT_MESSAGES {
-            let parts = homes.take_untold(MAX_PLACEMENTS);
+            let parts = homes.take_unsent(MAX_PLACEMENTS);
             if parts.is_empty() {
                 return;
             }
@@ -267,8 +267,8 @@
     }
 
     /// Queues placements for the receivers that this entry forwards them to.
-    pub fn forward(&mut self, hop: Hop, parts: &[homes::Placed]) {
-        let queue = |queue: &mut Vec<homes::Placed>| {
+    pub fn forward(&mut self, hop: Hop, parts: &[prefix_index::Placement]) {
+        let queue = |queue: &mut Vec<prefix_index::Placement>| {
             queue.extend_from_slice(parts);
             let excess = queue.len().saturating_sub(MAX_QUEUED_PARTS);
             queue.drain(..excess);
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::duties::{delivery, tally};
 use crate::gateway::fleet::peers::{self, roster};
-use crate::gateway::policy::{gate, homes, limits, load};
+use crate::gateway::policy::{admission, limits, load, prefix_index};
 use crate::gateway::{departures, evacuation};
 use crate::lease;
 
@@ -36,7 +36,7 @@
     pub live: u16,
     /// Newest information on the lease of the duties that was received from its holder.
     pub lease: Option<lease::Told>,
-    pub gate: gate::Ages,
+    pub gate: admission::Ages,
     pub evacuations: evacuation::Snapshot,
 }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placements {
     pub hop: Hop,
-    pub parts: Vec<homes::Placed>,
+    pub parts: Vec<prefix_index::Placement>,
 }
 
 /// A datagram between entries.
@@ -91,7 +91,7 @@
     Roster(roster::Roster),
     Placements(Placements),
     /// Rate limits that endpoints have announced, sent with each state message.
-    Limits(Vec<limits::Told>),
+    Limits(Vec<limits::LimitUpdate>),
     /// Endpoints that have announced that they leave, sent with each state message.
     Departures(Vec<departures::Departure>),
     /// Billing counts of one boot of an entry.
--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -57,6 +57,6 @@
         parts.into_iter().partition(|part| part.tokens >= MIN_SENT_TOKENS);
     let now_ms = control.now_ms();
     let mut homes = control.shared.prefix_locations();
-    homes.place(engine.key, &large, now_ms);
-    homes.recall(engine.key, &small, now_ms);
+    homes.record_sent(engine.key, &large, now_ms);
+    homes.record_cached(engine.key, &small, now_ms);
 }
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -15,7 +15,7 @@
 
 use crate::gateway::control::{Control, Platform};
 use crate::gateway::duties::tally;
-use crate::gateway::policy::homes;
+use crate::gateway::policy::prefix_index;
 use crate::gateway::{directory, route};
 use crate::seal;
 
@@ -50,7 +50,7 @@
 /// without the counts of entries that have ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SoftState {
-    placed: Vec<homes::Placed>,
+    placed: Vec<prefix_index::Placement>,
     counts: BTreeMap<u64, tally::Counts>,
 }
 
@@ -202,7 +202,7 @@
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
         "parts" => soft_state.placed.len(), "starts" => soft_state.counts.len());
     let mut homes = control.shared.prefix_locations();
-    soft_state.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
+    soft_state.placed.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
     control.shared.tally().merge_all(soft_state.counts);
 }
 
@@ -267,7 +267,7 @@
     let placed = match scope {
         SoftStateScope::Nothing => return None,
         SoftStateScope::Counts => Vec::new(),
-        SoftStateScope::All => control.shared.prefix_locations().latest(MAX_PLACEMENTS),
+        SoftStateScope::All => control.shared.prefix_locations().most_recent(MAX_PLACEMENTS),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
     Some(SoftState { placed, counts })
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -105,7 +105,7 @@
         let kind = route.kind;
         let priority = account.and_then(|one| one.priority).unwrap_or(route.priority);
         let account = account.map(|one| one.name.clone());
-        self.budgets.borrow_mut().request(&table.service(service).name, arrived_ms);
+        self.budgets.borrow_mut().record_request(&table.service(service).name, arrived_ms);
         Ok(Job {
             request,
             route: key,
@@ -168,7 +168,7 @@
             let is_first = !job.has_arrived && unsent == 0;
             if is_first
                 && job.request.prompt.is_some()
-                && !self.shared.gate.passes(
+                && !self.shared.gate.admit(
                     job.priority,
                     job.route().priority,
                     choice.free_share,
@@ -176,7 +176,7 @@
                 )
             {
                 self.log_turned_away(job, &choice);
-                self.shared.rejections().note(&job.service().name, now_ms);
+                self.shared.rejections().record(&job.service().name, now_ms);
                 return Err(self.given_up(job, error::Kind::TooLate));
             }
             if job.has_arrived && !self.may_retry(job) {
@@ -229,7 +229,12 @@
                         self.count(job, now_ms);
                     }
                     let took_ms = self.now_ms() - now_ms;
-                    self.health.borrow_mut().ended(choice.endpoint.key, false, took_ms, now_ms);
+                    self.health.borrow_mut().record_answer(
+                        choice.endpoint.key,
+                        false,
+                        took_ms,
+                        now_ms,
+                    );
                     if !job.kind.is_repeatable() {
                         let is_over = job.left_ms(self.now_ms()) == 0;
                         let over = error::Kind::DeadlineExceeded;
@@ -246,7 +251,7 @@
         let now_ms = self.now_ms();
         let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
-            && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
+            && self.budgets.borrow_mut().try_spend(&job.service().name, sharers, now_ms)
     }
 
     fn choose<'a>(&self, snapshot: &'a shared::Snapshot, job: &Job) -> Option<choose::Choice<'a>> {
@@ -260,18 +265,18 @@
         let homes = self.shared.prefix_locations();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
-        let known = choose::Known {
-            book: &book,
-            homes: &homes,
+        let known = choose::Inputs {
+            load_table: &book,
+            prefix_index: &homes,
             health: &health,
             pauses: &pauses,
-            pause_ms: job.route().pause_ms,
+            pause_limit_ms: job.route().pause_ms,
             zone: &self.shared.settings.zone,
             now_ms,
             target_ms: f64::from(job.route().target_ms),
-            patience_ms: job.stream_patience_ms() as f64,
+            max_wait_ms: job.stream_patience_ms() as f64,
             refused_zones: &job.refused_zones,
-            reading: &self.shared.engine_timing(&service.name),
+            prefill: &self.shared.engine_timing(&service.name),
         };
         choose::choose(
             fresh,
@@ -304,7 +309,7 @@
             Ok(Ok(body)) => Some(body),
         };
         let is_good = body.is_some() && !is_failure;
-        self.health.borrow_mut().ended(running.endpoint.key, is_good, took_ms, now_ms);
+        self.health.borrow_mut().record_answer(running.endpoint.key, is_good, took_ms, now_ms);
         if !is_good {
             job.may_have_run = true;
             slog::info!(self.log, "endpoint failed"; "request" => job.request.id.as_str(),
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use super::duties::tally;
-use super::policy::{gate, homes, limits, load, reading, warmup};
+use super::policy::{admission, limits, load, prefill, prefix_index, warmup};
 use super::{departures, directory, drain, evacuation, route, settings};
 use crate::clock;
 
@@ -20,7 +20,7 @@
     pub table: Option<Arc<route::Table>>,
     pub directory: Arc<directory::Directory>,
     pub evacuations: evacuation::Evacuations,
-    pub warming: warmup::Warming,
+    pub warming: warmup::ColdEndpoints,
 }
 
 impl Snapshot {
@@ -77,22 +77,22 @@
     /// Number of requests in flight in this entry.
     pub active: AtomicU32,
     /// Admission control: rejects prompts while almost no engine capacity is free.
-    pub gate: gate::Gate,
+    pub gate: admission::AdmissionControl,
     /// Wakes the control thread to send an update to the other entries at once, for example after a long
     /// prompt was sent.
     pub urgent_update: Notify,
     /// Retry settings; they may be reloaded while the process runs.
     retries: Mutex<settings::Retries>,
-    load_table: Mutex<load::Book>,
-    rejections: Mutex<load::TurnedAway>,
+    load_table: Mutex<load::LoadTable>,
+    rejections: Mutex<load::Rejections>,
     limits: Mutex<limits::Limits>,
     departures: Mutex<departures::Departures>,
-    prefix_locations: Mutex<homes::Homes>,
+    prefix_locations: Mutex<prefix_index::PrefixIndex>,
     tally: Mutex<tally::Tally>,
     /// Start times, on the boot clock, of sends whose requests may still be counted.
     pending_counts: Mutex<slab::Slab<u64>>,
     /// Measured prefill speed and run times of the engines, by service.
-    engine_timings: Mutex<HashMap<CompactString, reading::Reading>>,
+    engine_timings: Mutex<HashMap<CompactString, prefill::PrefillModel>>,
 }
 
 impl Shared {
@@ -116,7 +116,7 @@
             serving_peers: AtomicUsize::new(0),
             last_request_ms: AtomicU64::new(0),
             active: AtomicU32::new(0),
-            gate: gate::Gate::default(),
+            gate: admission::AdmissionControl::default(),
             load_table: Mutex::default(),
             rejections: Mutex::default(),
             limits: Mutex::default(),
@@ -129,12 +129,12 @@
     }
 
     /// Locks the load table: work in flight by endpoint.
-    pub fn load_table(&self) -> MutexGuard<'_, load::Book> {
+    pub fn load_table(&self) -> MutexGuard<'_, load::LoadTable> {
         lock(&self.load_table)
     }
 
     /// Locks the record of recently rejected requests.
-    pub fn rejections(&self) -> MutexGuard<'_, load::TurnedAway> {
+    pub fn rejections(&self) -> MutexGuard<'_, load::Rejections> {
         lock(&self.rejections)
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Locks the index of which endpoints hold which prompt parts in their prefix cache.
-    pub fn prefix_locations(&self) -> MutexGuard<'_, homes::Homes> {
+    pub fn prefix_locations(&self) -> MutexGuard<'_, prefix_index::PrefixIndex> {
         lock(&self.prefix_locations)
     }
 
@@ -165,13 +165,16 @@
 
     /// Returns the prefill speed and run times of a service's engines, as measured by this entry.
     #[must_use]
-    pub fn engine_timing(&self, service: &str) -> reading::Reading {
+    pub fn engine_timing(&self, service: &str) -> prefill::PrefillModel {
         lock(&self.engine_timings).get(service).copied().unwrap_or_default()
     }
 
     /// Records a response whose first event came after `took_ms`, with `tokens` to prefill before it.
     pub fn record_prefill(&self, service: &CompactString, tokens: u64, took_ms: u64) {
-        lock(&self.engine_timings).entry(service.clone()).or_default().learn(tokens, took_ms);
+        lock(&self.engine_timings)
+            .entry(service.clone())
+            .or_default()
+            .observe_first_event(tokens, took_ms);
     }
 
     /// Records the run time of a completed stream.
@@ -179,7 +182,7 @@
         lock(&self.engine_timings)
             .entry(service.clone())
             .or_default()
-            .learn_run(output_tokens, ran_ms);
+            .observe_run(output_tokens, ran_ms);
     }
 
     /// Length of a billing window.
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -48,19 +48,19 @@
     let mut from = None;
     let mut has_listed = false;
     let leave_ms = control.shared.settings.leave_ms;
-    let mut outage = outage::Outage::new(leave_ms);
+    let mut outage = outage::StoreOutage::new(leave_ms);
     loop {
         // Each entry reads the topic once by itself: what peers send at its start may be outdated.
         let is_discovering = control.shared.time.age_ms() < DISCOVERY_MS;
         if from.is_some() && (is_discovering || !control.reads_store()) {
             control.record_store_call(topic, true);
             // A past outage does not explain endpoints that are missing when this entry reads again.
-            outage = outage::Outage::new(leave_ms);
+            outage = outage::StoreOutage::new(leave_ms);
             time::sleep(STANDBY_CHECK).await;
             continue;
         }
         let called_ms = control.now_ms();
-        let wait_ms = outage.wait_ms(called_ms);
+        let wait_ms = outage.watch_wait_ms(called_ms);
         let result = match from {
             None => control.platform.list_all(topic).await.map_err(WatchFailure::Failed),
             Some(revision) => tokio::select! {
@@ -73,7 +73,7 @@
         control.record_store_call(topic, is_good);
         match result {
             Ok(batch) => {
-                if let Some(away_ms) = outage.answered(now_ms) {
+                if let Some(away_ms) = outage.record_answer(now_ms) {
                     slog::info!(control.log, "store regained"; "topic" => format!("{topic:?}"),
                         "away_ms" => away_ms);
                 }
@@ -87,7 +87,7 @@
                 let origin = Origin {
                     is_list,
                     is_live: !is_list && now_ms >= called_ms + LIVE_MS,
-                    keep_until_ms: outage.keep_until_ms(now_ms),
+                    keep_until_ms: outage.keep_missing_until_ms(now_ms),
                 };
                 apply(&control, topic, batch, origin);
                 if topic == Topic::Endpoints && has_changes {
@@ -99,7 +99,7 @@
                 from = None;
             }
             Err(WatchFailure::Failed(failure)) => {
-                if !outage.is_away() {
+                if !outage.is_down() {
                     slog::warn!(control.log, "store lost"; "topic" => format!("{topic:?}"),
                         "failure" => failure.to_string());
                 }
@@ -108,7 +108,7 @@
                 }
                 // An entry that has not listed the topic yet cannot serve, so it retries at the full rate.
                 let is_standby = has_listed && control.is_standby_reader();
-                let pause_ms = outage.failed(now_ms, is_standby, &mut rand::rng());
+                let pause_ms = outage.record_failure(now_ms, is_standby, &mut rand::rng());
                 let pause = Duration::from_millis(pause_ms);
                 if has_listed {
                     control.wait_to_retry(topic, pause).await;
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -90,7 +90,7 @@
                 for endpoint in 0..ENDPOINTS {
                     let living = fleet.nodes.iter().enumerate().filter(|(_, one)| !one.is_silent);
                     let expected = living.filter(|(index, _)| (index + endpoint) % 7 == 0).count();
-                    let known = node.book.at(key(endpoint), fleet.now_ms).requests as usize;
+                    let known = node.book.work_at(key(endpoint), fleet.now_ms).requests as usize;
                     let role = node.exchange.role(fleet.now_ms);
                     assert_eq!(
                         known, expected,
@@ -120,13 +120,13 @@
         fleet.run_ms(500);
         for index in 0..entries {
             let part = Part { id: index as u64, tokens: 3_000 };
-            fleet.nodes[index].homes.place(key(index), &[part], fleet.now_ms);
+            fleet.nodes[index].homes.record_sent(key(index), &[part], fleet.now_ms);
         }
         fleet.run_ms(300);
         for node in &fleet.nodes {
             let is_missing = |index: &usize| {
                 let part = Part { id: *index as u64, tokens: 3_000 };
-                node.homes.known_tokens(key(*index), &[part], fleet.now_ms) == 0
+                node.homes.cached_tokens(key(*index), &[part], fleet.now_ms) == 0
             };
             assert_eq!((0..entries).filter(is_missing).count(), 0, "{entries} entries");
         }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -9,7 +9,7 @@
 use briarwinch::gateway::fleet::exchange::{Exchange, Identity, LocalState, Outgoing};
 use briarwinch::gateway::fleet::message::Message;
 use briarwinch::gateway::fleet::peers::Peers;
-use briarwinch::gateway::policy::{gate, homes, limits, load};
+use briarwinch::gateway::policy::{admission, limits, load, prefix_index};
 use briarwinch::gateway::settings;
 use briarwinch::gateway::{departures, evacuation};
 use proptest::prelude::*;
@@ -31,8 +31,8 @@
     pub zone: &'static str,
     pub boot: u64,
     pub exchange: Exchange,
-    pub book: load::Book,
-    pub homes: homes::Homes,
+    pub book: load::LoadTable,
+    pub homes: prefix_index::PrefixIndex,
     pub limits: limits::Limits,
     pub departures: departures::Departures,
     pub tally: Tally,
@@ -145,8 +145,8 @@
             zone,
             boot,
             exchange: Exchange::new(own, Peers::new(&settings, now_ms), now_ms),
-            book: load::Book::default(),
-            homes: homes::Homes::default(),
+            book: load::LoadTable::default(),
+            homes: prefix_index::PrefixIndex::default(),
             limits: limits::Limits::default(),
             departures: departures::Departures::default(),
             tally: Tally::default(),
@@ -241,11 +241,11 @@
             }
             Message::Placements(placed) => {
                 node.exchange.forward(placed.hop, &placed.parts);
-                placed.parts.into_iter().for_each(|one| node.homes.note(one, now_ms));
+                placed.parts.into_iter().for_each(|one| node.homes.record_remote(one, now_ms));
             }
             Message::Limits(limits) => {
                 for limit in limits {
-                    node.limits.adopt(limit, now_ms);
+                    node.limits.apply_update(limit, now_ms);
                 }
             }
             Message::Departures(departures) => {
@@ -376,9 +376,9 @@
         holds_duties: node.holds_duties,
         is_stopping: node.is_stopping,
         lease: None,
-        gate: gate::Gate::default().ages(now_ms),
+        gate: admission::AdmissionControl::default().ages(now_ms),
         evacuations: node.evacuations.snapshot(now_ms),
-        limits: node.limits.told(now_ms),
+        limits: node.limits.updates(now_ms),
         limits_stamp: node.limits.newest_stamp(),
         departures: node.departures.recent(now_ms),
     }
