--- a/src/gateway/events.rs
+++ b/src/gateway/event_splitter.rs
@@ -18,11 +18,11 @@
 
 /// Gathers pieces of a stream.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     pending: BytesMut,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes a piece; gives the events that are now whole. `None`: an event is too long.
     pub fn push(&mut self, piece: &[u8]) -> Option<Events> {
         self.pending.extend_from_slice(piece);
@@ -39,7 +39,7 @@
 
     /// Whether the last event has not come whole.
     #[must_use]
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
--- a/src/gateway/events_body.rs
+++ b/src/gateway/events_body.rs
@@ -12,7 +12,7 @@
 
 use super::attempt::Running;
 use super::job::Job;
-use super::{Gateway, events, http1, measures};
+use super::{Gateway, event_splitter, http1, measures};
 use crate::error;
 
 /// A stream that ended before its end. The caller's connection has to be closed, so that the answer
@@ -58,7 +58,7 @@
     /// None while another endpoint is sought: the former one stops its work when its connection
     /// closes.
     running: Option<Running>,
-    splitter: events::Splitter,
+    splitter: event_splitter::EventSplitter,
     last_id: Option<u64>,
     pace: Pace,
     is_over: bool,
@@ -100,7 +100,7 @@
         gateway: Rc::clone(gateway),
         job,
         running: Some(running),
-        splitter: events::Splitter::default(),
+        splitter: event_splitter::EventSplitter::default(),
         last_id,
         pace: Pace::default(),
         is_over: false,
@@ -201,7 +201,9 @@
         loop {
             let piece = match self.piece().await {
                 Ok(Some(piece)) => piece,
-                Ok(None) if self.splitter.is_torn() => return Step::Lost(http1::Error::Closed),
+                Ok(None) if self.splitter.has_partial_event() => {
+                    return Step::Lost(http1::Error::Closed);
+                }
                 Ok(None) => return Step::End,
                 Err(error) => return Step::Lost(error),
             };
@@ -306,7 +308,7 @@
             "endpoint" => running.endpoint.id.as_str(), "event" => self.last_id,
             "status" => running.head.status);
         self.running = Some(running);
-        self.splitter = events::Splitter::default();
+        self.splitter = event_splitter::EventSplitter::default();
         is_stream
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -14,7 +14,7 @@
 pub mod duties;
 mod eligibility;
 pub mod evacuation;
-pub mod events;
+pub mod event_splitter;
 pub mod events_body;
 pub mod fleet;
 pub mod http1;
--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,6 +1,6 @@
 //! Streams of events are passed on in whole events only.
 
-use briarwinch::gateway::events::Splitter;
+use briarwinch::gateway::event_splitter::EventSplitter;
 use proptest::prelude::*;
 
 const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n:note\n\nid: 3\ndata: c\n\n";
@@ -12,7 +12,7 @@
         let mut cuts = cuts;
         cuts.extend([0, STREAM.len()]);
         cuts.sort_unstable();
-        let mut splitter = Splitter::default();
+        let mut splitter = EventSplitter::default();
         let (mut out, mut last_id) = (Vec::new(), None);
         for pair in cuts.windows(2) {
             let events = splitter.push(&STREAM[pair[0]..pair[1]]).expect("no event too long");
@@ -25,7 +25,7 @@
         }
         prop_assert_eq!(out, STREAM);
         prop_assert_eq!(last_id, Some(3));
-        prop_assert!(!splitter.is_torn());
+        prop_assert!(!splitter.has_partial_event());
     }
 }
 
@@ -33,16 +33,16 @@
 /// next endpoint's first one would run together for the user.
 #[test]
 fn a_torn_event_is_kept_back() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let events = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short");
     assert_eq!(&events.bytes[..], b"id: 1\ndata: a\n\n");
     assert_eq!((events.first_id, events.last_id), (Some(1), Some(1)));
-    assert!(splitter.is_torn());
+    assert!(splitter.has_partial_event());
 }
 
 #[test]
 fn an_endless_event_is_given_up() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 300 << 10];
     let pushed: Vec<bool> = (0..5).map(|_| splitter.push(&piece).is_some()).collect();
     assert_eq!(pushed.last(), Some(&false));
