--- a/src/gateway/events_body.rs
+++ b/src/gateway/event_stream.rs
@@ -19,23 +19,23 @@
 /// does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("the stream broke off")]
-pub struct BrokenOff;
+pub struct StreamInterrupted;
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for StreamInterrupted {}
 
 /// Whole events, as a stream of bytes.
-pub struct EventsBody {
-    events: Pin<Box<dyn Stream<Item = Result<Bytes, BrokenOff>>>>,
+pub struct EventStream {
+    events: Pin<Box<dyn Stream<Item = Result<Bytes, StreamInterrupted>>>>,
 }
 
-impl std::fmt::Debug for EventsBody {
+impl std::fmt::Debug for EventStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("EventsBody(..)")
+        f.write_str("EventStream(..)")
     }
 }
 
-impl Stream for EventsBody {
-    type Item = Result<Bytes, BrokenOff>;
+impl Stream for EventStream {
+    type Item = Result<Bytes, StreamInterrupted>;
 
     fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         self.get_mut().events.as_mut().poll_next(context)
@@ -94,7 +94,7 @@
     gateway: &Rc<Gateway>,
     job: Job,
     running: Running,
-) -> Result<(http1::Head, EventsBody), error::Refusal> {
+) -> Result<(http1::Head, EventStream), error::Refusal> {
     let last_id = job.request.after_event;
     let mut source = Source {
         gateway: Rc::clone(gateway),
@@ -120,7 +120,7 @@
     });
     let events =
         Box::pin(stream::StreamExt::chain(stream::iter(first.into_iter().map(Ok)), Box::pin(rest)));
-    Ok((head, EventsBody { events }))
+    Ok((head, EventStream { events }))
 }
 
 impl Drop for Source {
@@ -169,7 +169,7 @@
     }
 
     /// The next events; `None` when the stream is over.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         if self.is_over {
             return None;
         }
@@ -190,7 +190,7 @@
                         measures::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
                             "request" => self.job.request.id.as_str(), "event" => self.last_id);
-                        return Some(Err(BrokenOff));
+                        return Some(Err(StreamInterrupted));
                     }
                 }
             }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -15,7 +15,7 @@
 mod eligibility;
 pub mod evacuation;
 pub mod event_splitter;
-pub mod events_body;
+pub mod event_stream;
 pub mod fleet;
 pub mod http1;
 pub mod job;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use super::job::{Active, Job};
 use super::policy::choose;
 use super::request::{Answer, Request};
-use super::{Gateway, events_body, http1, lines, measures, shared};
+use super::{Gateway, event_stream, http1, lines, measures, shared};
 use crate::error;
 
 /// Longest answer that is gathered before it is sent, in bytes.
@@ -134,7 +134,7 @@
                 Err(refusal) => return Answer::Refused(refusal),
             };
             if job.kind.is_stream() && (200..300).contains(&running.head.status) {
-                return match events_body::open(self, job, running).await {
+                return match event_stream::open(self, job, running).await {
                     Ok((head, body)) => Answer::Stream { head, body },
                     Err(refusal) => Answer::Refused(refusal),
                 };
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -5,7 +5,7 @@
 use compact_str::CompactString;
 
 use super::policy::limits;
-use super::{events_body, http1};
+use super::{event_stream, http1};
 use crate::error;
 
 /// A part of a prompt that requests may share.
@@ -134,7 +134,7 @@
     /// An endpoint's whole answer.
     Whole { head: http1::Head, body: Bytes },
     /// An endpoint's stream.
-    Stream { head: http1::Head, body: events_body::EventsBody },
+    Stream { head: http1::Head, body: event_stream::EventStream },
     /// The router's own answer.
     Refused(error::Refusal),
 }
