--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -12,7 +12,7 @@
 
 use super::attempt::Running;
 use super::job::Job;
-use super::{Gateway, event_splitter, http1, measures};
+use super::{Gateway, event_splitter, http1, metrics};
 use crate::error;
 
 /// A stream that ended before its end. The caller's connection has to be closed, so that the answer
@@ -129,7 +129,7 @@
             return;
         }
         let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
-        measures::stream_ended(&self.job.service().name, "caller_left");
+        metrics::stream_ended(&self.job.service().name, "caller_left");
         slog::info!(self.gateway.log, "caller left"; "request" => self.job.request.id.as_str(),
             "event" => self.last_id, "took_ms" => took_ms);
     }
@@ -143,7 +143,7 @@
                 Step::Events(bytes) => {
                     self.learn_reading();
                     let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
-                    measures::first_event(&self.job.service().name, took_ms);
+                    metrics::first_event(&self.job.service().name, took_ms);
                     self.mark_first_event();
                     let now_ms = self.gateway.now_ms();
                     self.gateway.count(&mut self.job, now_ms);
@@ -187,7 +187,7 @@
                     self.note_lost(&error);
                     if self.gateway.now_ms() >= self.job.end_ms || !self.take_up().await {
                         self.is_over = true;
-                        measures::stream_ended(&self.job.service().name, "broken_off");
+                        metrics::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
                             "request" => self.job.request.id.as_str(), "event" => self.last_id);
                         return Some(Err(StreamInterrupted));
@@ -303,7 +303,7 @@
             return false;
         };
         let is_stream = (200..300).contains(&running.head.status);
-        measures::stream_ended(&self.job.service().name, "taken_up");
+        metrics::stream_ended(&self.job.service().name, "taken_up");
         slog::info!(self.gateway.log, "stream taken up"; "request" => self.job.request.id.as_str(),
             "endpoint" => running.endpoint.id.as_str(), "event" => self.last_id,
             "status" => running.head.status);
@@ -334,7 +334,7 @@
             let service = &self.job.service().name;
             self.gateway.shared.learn_run(service, output_tokens, now_ms - first_ms);
         }
-        measures::stream_ended(&self.job.service().name, "whole");
+        metrics::stream_ended(&self.job.service().name, "whole");
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
             "endpoint" => endpoint.id.as_str(), "event" => self.last_id, "took_ms" => took_ms,
             "first_ms" => self.pace.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -11,7 +11,7 @@
 use crate::gateway::fleet::exchange::{Facts, Outgoing};
 use crate::gateway::fleet::message::{Message, State};
 use crate::gateway::fleet::pulls;
-use crate::gateway::measures;
+use crate::gateway::metrics;
 use crate::{clock, lease, metric, seal};
 
 /// Pause between two looks at what is to be told.
@@ -133,7 +133,13 @@
         let departures = control.shared.departures();
         snapshot.directory.endpoints().iter().filter(|one| departures.has(one)).count()
     };
-    measures::known(&snapshot, limited, leaving, peers.live(now_ms), control.holds_duties.get());
+    metrics::control_state(
+        &snapshot,
+        limited,
+        leaving,
+        peers.live(now_ms),
+        control.holds_duties.get(),
+    );
 }
 
 fn send_all<P>(control: &Control<P>, outgoing: Vec<Outgoing>) {
@@ -146,7 +152,7 @@
                 continue;
             }
         };
-        measures::told(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
+        metrics::messages_sent(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
         for addr in one.to {
             // A datagram that does not leave is like one that was lost: the next one repairs it.
             let _ = control.socket.try_send_to(&bytes, addr);
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -10,7 +10,7 @@
 use super::attempt::Patience;
 use super::directory::EndpointKey;
 use super::request::{Call, Rank, Request};
-use super::{measures, route, shared};
+use super::{metrics, route, shared};
 
 /// A first event that takes this many times as long as expected is not waited for any longer where
 /// another endpoint may try. Below, a request would lose its place in a queue for nothing.
@@ -55,14 +55,14 @@
 
 impl Active {
     pub(super) fn begin(shared: &Arc<shared::Shared>) -> Self {
-        measures::active(shared.active.fetch_add(1, Ordering::AcqRel) + 1);
+        metrics::active_requests(shared.active.fetch_add(1, Ordering::AcqRel) + 1);
         Self(Arc::clone(shared))
     }
 }
 
 impl Drop for Active {
     fn drop(&mut self) {
-        measures::active(self.0.active.fetch_sub(1, Ordering::AcqRel) - 1);
+        metrics::active_requests(self.0.active.fetch_sub(1, Ordering::AcqRel) - 1);
     }
 }
 
--- a/src/gateway/lines.rs
+++ b/src/gateway/lines.rs
@@ -9,7 +9,7 @@
 use super::job::Job;
 use super::policy::{choose, limits};
 use super::request::{Answer, Request};
-use super::{Gateway, directory, measures};
+use super::{Gateway, directory, metrics};
 use crate::error;
 
 /// What a request asked for, for the line that says why it was refused.
@@ -83,7 +83,7 @@
 
     /// Notes a request that could not be read, and was refused before it had a route.
     pub fn refused_unread(&self, refusal: &error::Refusal) {
-        measures::refused(refusal.kind.answer().code);
+        metrics::refused(refusal.kind.answer().code);
         slog::info!(self.log, "refused unread"; "status" => refusal.kind.answer().status,
             "kind" => refusal.kind.answer().code, "detail" => refusal.detail.as_str());
     }
@@ -140,7 +140,7 @@
             Failure::NotRun { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
-        measures::sent(&job.service().name, what);
+        metrics::send_outcome(&job.service().name, what);
         slog::info!(self.log, "send failed"; "request" => job.request.id.as_str(),
             "endpoint" => choice.endpoint.id.as_str(), "outcome" => what, "detail" => detail,
             "retry_after_ms" => retry_after_ms,
--- a/src/gateway/measures.rs
+++ b/src/gateway/metrics.rs
@@ -4,7 +4,7 @@
 use super::shared;
 
 /// A request has begun or ended; so many are under way.
-pub fn active(count: u32) {
+pub fn active_requests(count: u32) {
     metrics::gauge!("briarwinch_active_requests").set(f64::from(count));
 }
 
@@ -23,7 +23,7 @@
 }
 
 /// A send to an endpoint came to this.
-pub fn sent(service: &str, outcome: &'static str) {
+pub fn send_outcome(service: &str, outcome: &'static str) {
     metrics::counter!("briarwinch_gateway_sends_total",
         "service" => service.to_owned(), "outcome" => outcome)
     .increment(1);
@@ -50,14 +50,14 @@
 }
 
 /// Other entries were sent a message of this kind.
-pub fn told(kind: &'static str, messages: u64, bytes: u64) {
+pub fn messages_sent(kind: &'static str, messages: u64, bytes: u64) {
     metrics::counter!("briarwinch_gateway_messages_total", "kind" => kind).increment(messages);
     metrics::counter!("briarwinch_gateway_message_bytes_total", "kind" => kind)
         .increment(messages * bytes);
 }
 
 /// What the control thread knows.
-pub fn known(
+pub fn control_state(
     snapshot: &shared::Snapshot,
     limited: usize,
     leaving: usize,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 pub mod http1;
 pub mod job;
 mod lines;
-pub mod measures;
+pub mod metrics;
 pub mod policy;
 pub mod pool;
 pub mod relay;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use super::job::{Active, Job};
 use super::policy::choose;
 use super::request::{Answer, Request};
-use super::{Gateway, event_stream, http1, lines, measures, shared};
+use super::{Gateway, event_stream, http1, lines, metrics, shared};
 use crate::error;
 
 /// Longest answer that is gathered before it is sent, in bytes.
@@ -50,14 +50,14 @@
                 (self.carry(job).await, service)
             }
             Err(refusal) => {
-                measures::refused(refusal.kind.answer().code);
+                metrics::refused(refusal.kind.answer().code);
                 (Answer::Refused(refusal), CompactString::default())
             }
         };
         caller.is_answered();
         let took_ms = self.now_ms() - begin_ms;
         if !service.is_empty() {
-            measures::answered(&service, answer.outcome(), took_ms);
+            metrics::answered(&service, answer.outcome(), took_ms);
         }
         self.log_answer(&id, &asked, &answer, took_ms);
         answer
@@ -191,7 +191,7 @@
             let failure = match self.attempt(job, &choice, patience).await {
                 Ok(running) => {
                     job.has_arrived = true;
-                    measures::sent(&job.service().name, "answered");
+                    metrics::send_outcome(&job.service().name, "answered");
                     return Ok(running);
                 }
                 Err(failure) => failure,
