--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 
 use super::directory::EndpointKey;
 use super::policy::{choose, health, load};
-use super::{Gateway, departures, directory, http1, job, lines, pool, request};
+use super::{Gateway, departures, directory, http1, job, pool, request, request_log};
 
 /// Answers to other requests that are skipped before the awaited one; endpoints have been seen to
 /// send one too many.
@@ -254,14 +254,14 @@
         }
         let departure = departures::Departure::of(endpoint);
         if facts.is_leaving && self.shared.departures().note(departure, now_ms) {
-            lines::endpoint_leaves(&self.log, endpoint, "answer");
+            request_log::log_endpoint_leaving(&self.log, endpoint, "answer");
             self.shared.news.notify_one();
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
         let change = limits.answered(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
-            lines::endpoint_limit(&self.log, &endpoint.id, change, "answer");
+            request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // The other entries send at their usual rate until they know.
             self.shared.news.notify_one();
         }
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -3,7 +3,7 @@
 
 use crate::gateway::control::Control;
 use crate::gateway::policy::{limits, warmup};
-use crate::gateway::{departures, directory, evacuation, lines, route};
+use crate::gateway::{departures, directory, evacuation, request_log, route};
 
 impl<P> Control<P> {
     /// Runs a change on the evacuated zones and publishes the outcome if it brought anything new.
@@ -53,7 +53,7 @@
         for one in told {
             let change = limits.adopt(*one, now_ms);
             if let (Some(change), Some(endpoint)) = (change, directory.find(one.endpoint)) {
-                lines::endpoint_limit(&self.log, &endpoint.id, change, "peer");
+                request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "peer");
             }
         }
     }
@@ -65,7 +65,7 @@
         for departure in told {
             let is_new = departures.note(*departure, now_ms);
             if let Some(endpoint) = directory.find(departure.endpoint).filter(|_| is_new) {
-                lines::endpoint_leaves(&self.log, endpoint, "peer");
+                request_log::log_endpoint_leaving(&self.log, endpoint, "peer");
             }
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -15,7 +15,7 @@
 use super::job::{Active, Job};
 use super::policy::choose;
 use super::request::{Answer, Request};
-use super::{Gateway, event_stream, http1, lines, metrics, shared};
+use super::{Gateway, event_stream, http1, metrics, request_log, shared};
 use crate::error;
 
 /// Longest answer that is gathered before it is sent, in bytes.
@@ -42,8 +42,8 @@
     pub async fn serve(self: &Rc<Self>, request: Request) -> Answer {
         let id = request.id.clone();
         let begin_ms = self.now_ms();
-        let caller = lines::Caller::wait(self, &id, begin_ms);
-        let asked = lines::Asked::of(&request);
+        let caller = request_log::DisconnectLog::wait(self, &id, begin_ms);
+        let asked = request_log::RequestedPath::of(&request);
         let (answer, service) = match self.admit(request) {
             Ok(job) => {
                 let service = job.service().name.clone();
--- a/src/gateway/lines.rs
+++ b/src/gateway/request_log.rs
@@ -13,26 +13,26 @@
 use crate::error;
 
 /// What a request asked for, for the line that says why it was refused.
-pub(super) struct Asked {
+pub(super) struct RequestedPath {
     host: CompactString,
     path: CompactString,
 }
 
-impl Asked {
+impl RequestedPath {
     pub(super) fn of(request: &Request) -> Self {
         Self { host: request.host.clone(), path: request.path().into() }
     }
 }
 
 /// Says so when the caller leaves before it is answered: its request's future is dropped then.
-pub(super) struct Caller<'a> {
+pub(super) struct DisconnectLog<'a> {
     gateway: &'a Gateway,
     id: &'a str,
     begin_ms: u64,
     is_answered: Cell<bool>,
 }
 
-impl<'a> Caller<'a> {
+impl<'a> DisconnectLog<'a> {
     pub(super) fn wait(gateway: &'a Gateway, id: &'a str, begin_ms: u64) -> Self {
         Self { gateway, id, begin_ms, is_answered: Cell::new(false) }
     }
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for Caller<'_> {
+impl Drop for DisconnectLog<'_> {
     fn drop(&mut self) {
         if !self.is_answered.get() {
             let took_ms = self.gateway.now_ms() - self.begin_ms;
@@ -53,7 +53,7 @@
 }
 
 /// An endpoint says itself that it leaves.
-pub(super) fn endpoint_leaves(
+pub(super) fn log_endpoint_leaving(
     log: &slog::Logger,
     endpoint: &directory::Endpoint,
     source: &'static str,
@@ -64,7 +64,7 @@
 }
 
 /// An endpoint has named a limit, another one, or none any more.
-pub(super) fn endpoint_limit(
+pub(super) fn log_endpoint_limit(
     log: &slog::Logger,
     endpoint: &str,
     change: limits::Change,
@@ -89,7 +89,13 @@
     }
 
     /// The answer that a request got.
-    pub(super) fn log_answer(&self, id: &str, asked: &Asked, answer: &Answer, took_ms: u64) {
+    pub(super) fn log_answer(
+        &self,
+        id: &str,
+        asked: &RequestedPath,
+        answer: &Answer,
+        took_ms: u64,
+    ) {
         match answer {
             Answer::Refused(refusal) => {
                 slog::info!(self.log, "refused"; "request" => id, "took_ms" => took_ms,
