--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -72,7 +72,7 @@
     pub endpoint: directory::Endpoint,
     pub connection: http1::Connection,
     pub head: http1::Head,
-    pub facts: request::AnswerFacts,
+    pub info: request::ResponseInfo,
     pub ticket: Ticket,
     pub sent_ms: u64,
 }
@@ -135,7 +135,7 @@
                 self.shared.news.notify_one();
             }
         }
-        let bytes = self.form.encode(&job.call(&endpoint.id, now_ms));
+        let bytes = self.protocol.encode(&job.endpoint_request(&endpoint.id, now_ms));
         let answered = {
             let head = self.matching_head(&mut connection, &bytes, job);
             tokio::pin!(head);
@@ -155,20 +155,20 @@
             }
         };
         match answered {
-            Ok((head, facts)) => {
-                if facts.is_other_endpoint {
+            Ok((head, info)) => {
+                if info.is_other_endpoint {
                     return Err(Failure::WrongEndpoint);
                 }
-                self.heard(&endpoint, &facts, now_ms);
-                if facts.not_run {
+                self.heard(&endpoint, &info, now_ms);
+                if info.not_run {
                     let failure = Failure::NotRun {
                         status: head.status,
-                        retry_after_ms: facts.retry_after_ms,
+                        retry_after_ms: info.retry_after_ms,
                     };
                     self.keep_when_read(&endpoint, connection).await;
                     return Err(failure);
                 }
-                Ok(Running { endpoint, connection, head, facts, ticket, sent_ms: now_ms })
+                Ok(Running { endpoint, connection, head, info, ticket, sent_ms: now_ms })
             }
             Err(error) => {
                 self.unreachable(&endpoint);
@@ -218,18 +218,18 @@
         connection: &mut http1::Connection,
         bytes: &[u8],
         job: &job::Job,
-    ) -> Result<(http1::Head, request::AnswerFacts), http1::Error> {
+    ) -> Result<(http1::Head, request::ResponseInfo), http1::Error> {
         let mut head = connection.exchange(bytes).await?;
         for _ in 0..MAX_STRAY_ANSWERS {
-            let facts = self.form.read(&head);
-            if facts.is_other_endpoint || facts.request_id.as_ref() == Some(&job.request.id) {
-                return Ok((head, facts));
+            let info = self.protocol.parse_head(&head);
+            if info.is_other_endpoint || info.request_id.as_ref() == Some(&job.request.id) {
+                return Ok((head, info));
             }
-            if facts.request_id.is_none() {
+            if info.request_id.is_none() {
                 return Err(http1::Error::Malformed);
             }
             slog::warn!(self.log, "stray answer skipped"; "request" => job.request.id.as_str(),
-                "answers" => facts.request_id.as_deref().unwrap_or_default());
+                "answers" => info.request_id.as_deref().unwrap_or_default());
             connection.rest(MAX_STRAY_BYTES).await?;
             head = connection.next_head().await?;
         }
@@ -243,23 +243,23 @@
     }
 
     /// Takes what the head of an answer says of the endpoint, to a request that was sent at `sent_ms`.
-    fn heard(&self, endpoint: &directory::Endpoint, facts: &request::AnswerFacts, sent_ms: u64) {
+    fn heard(&self, endpoint: &directory::Endpoint, info: &request::ResponseInfo, sent_ms: u64) {
         let now_ms = self.now_ms();
         self.health.borrow_mut().heard(endpoint.key, now_ms);
-        if let Some(load) = facts.load {
+        if let Some(load) = info.load {
             self.shared.book().take_report(endpoint.key, load.running + load.waiting, now_ms);
         }
-        if let Some(wait_ms) = facts.retry_after_ms {
+        if let Some(wait_ms) = info.retry_after_ms {
             self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
         }
         let departure = departures::Departure::of(endpoint);
-        if facts.is_leaving && self.shared.departures().note(departure, now_ms) {
+        if info.is_leaving && self.shared.departures().note(departure, now_ms) {
             request_log::log_endpoint_leaving(&self.log, endpoint, "answer");
             self.shared.news.notify_one();
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
-        let change = limits.answered(endpoint.key, facts.limit, sent_ms, now_ms, unix_ms);
+        let change = limits.answered(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // The other entries send at their usual rate until they know.
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -9,7 +9,7 @@
 
 use super::attempt::Patience;
 use super::directory::EndpointKey;
-use super::request::{Call, Rank, Request};
+use super::request::{EndpointRequest, Rank, Request};
 use super::{metrics, route, shared};
 
 /// A first event that takes this many times as long as expected is not waited for any longer where
@@ -85,8 +85,12 @@
 
     /// The request as an endpoint gets it now.
     #[must_use]
-    pub fn call<'a>(&'a self, endpoint_id: &'a str, now_ms: u64) -> Call<'a> {
-        Call {
+    pub fn endpoint_request<'a>(
+        &'a self,
+        endpoint_id: &'a str,
+        now_ms: u64,
+    ) -> EndpointRequest<'a> {
+        EndpointRequest {
             request: &self.request,
             left_ms: u32::try_from(self.left_ms(now_ms)).unwrap_or(u32::MAX).max(1),
             endpoint_id,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,8 +3,8 @@
 //! For platforms on which each endpoint queues and batches by itself: the entry finds the route, the
 //! client account and the endpoint, sends the request over HTTP/1.1 and streams the answer back. A
 //! control thread follows the platform's store, exchanges state with the other entries and
-//! contends for the duties. What speaks a platform's own form is an adapter behind the ports
-//! [`request::EndpointForm`] and [`control::Platform`].
+//! contends for the duties. What speaks a platform's own protocol is an adapter behind the ports
+//! [`request::EndpointProtocol`] and [`control::Platform`].
 
 pub mod attempt;
 pub mod control;
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct Gateway {
     shared: Arc<shared::Shared>,
-    form: Box<dyn request::EndpointForm>,
+    protocol: Box<dyn request::EndpointProtocol>,
     pool: RefCell<pool::Pool>,
     health: RefCell<health::Health>,
     pauses: RefCell<pauses::Pauses>,
@@ -63,13 +63,13 @@
     #[must_use]
     pub fn open(
         shared: Arc<shared::Shared>,
-        form: Box<dyn request::EndpointForm>,
+        protocol: Box<dyn request::EndpointProtocol>,
         log: slog::Logger,
     ) -> Rc<Self> {
         let gateway = Rc::new(Self {
             budgets: RefCell::new(budget::Budgets::new(shared.settings.retries.allowed())),
             shared,
-            form,
+            protocol,
             pool: RefCell::default(),
             health: RefCell::default(),
             pauses: RefCell::default(),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -299,7 +299,7 @@
                 return Err(self.given_up(job, error::Kind::DeadlineExceeded));
             }
             Ok(Err(_)) => None,
-            Ok(Ok(_)) if !running.facts.is_signed => None,
+            Ok(Ok(_)) if !running.info.is_signed => None,
             Ok(Ok(body)) => Some(body),
         };
         let is_good = body.is_some() && !is_failure;
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -80,7 +80,7 @@
 
 /// A request as one endpoint gets it.
 #[derive(Debug)]
-pub struct Call<'a> {
+pub struct EndpointRequest<'a> {
     pub request: &'a Request,
     /// Time left for the endpoint's work.
     pub left_ms: u32,
@@ -95,7 +95,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseInfo {
     /// The request that it answers.
     pub request_id: Option<CompactString>,
     /// The endpoint states that the request did not run.
@@ -121,11 +121,11 @@
 }
 
 /// How endpoints are spoken to: the port that an adapter fills.
-pub trait EndpointForm: std::fmt::Debug {
+pub trait EndpointProtocol: std::fmt::Debug {
     /// The request as bytes on an HTTP/1.1 connection.
-    fn encode(&self, call: &Call<'_>) -> Vec<u8>;
+    fn encode(&self, call: &EndpointRequest<'_>) -> Vec<u8>;
     /// Reads the head of an answer.
-    fn read(&self, head: &http1::Head) -> AnswerFacts;
+    fn parse_head(&self, head: &http1::Head) -> ResponseInfo;
 }
 
 /// What a caller gets.
