--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use super::attempt::{Failure, Running};
 use super::job::{Active, Job};
 use super::policy::choose;
-use super::request::{Answer, Request};
+use super::request::{Request, Response};
 use super::{Gateway, event_stream, http1, metrics, request_log, shared};
 use crate::error;
 
@@ -39,7 +39,7 @@
 
 impl Gateway {
     /// Serves a request of a caller.
-    pub async fn serve(self: &Rc<Self>, request: Request) -> Answer {
+    pub async fn serve(self: &Rc<Self>, request: Request) -> Response {
         let id = request.id.clone();
         let begin_ms = self.now_ms();
         let caller = request_log::DisconnectLog::wait(self, &id, begin_ms);
@@ -51,7 +51,7 @@
             }
             Err(refusal) => {
                 metrics::refused(refusal.kind.answer().code);
-                (Answer::Refused(refusal), CompactString::default())
+                (Response::Refused(refusal), CompactString::default())
             }
         };
         caller.is_answered();
@@ -59,7 +59,7 @@
         if !service.is_empty() {
             metrics::answered(&service, answer.outcome(), took_ms);
         }
-        self.log_answer(&id, &asked, &answer, took_ms);
+        self.log_response(&id, &asked, &answer, took_ms);
         answer
     }
 
@@ -127,22 +127,22 @@
     }
 
     /// Sends the request until an endpoint answers, or nothing is left to try.
-    async fn carry(self: &Rc<Self>, mut job: Job) -> Answer {
+    async fn carry(self: &Rc<Self>, mut job: Job) -> Response {
         loop {
             let running = match self.run(&mut job).await {
                 Ok(running) => running,
-                Err(refusal) => return Answer::Refused(refusal),
+                Err(refusal) => return Response::Refused(refusal),
             };
             if job.kind.is_stream() && (200..300).contains(&running.head.status) {
                 return match event_stream::open(self, job, running).await {
-                    Ok((head, body)) => Answer::Stream { head, body },
-                    Err(refusal) => Answer::Refused(refusal),
+                    Ok((head, body)) => Response::Stream { head, body },
+                    Err(refusal) => Response::Refused(refusal),
                 };
             }
             match self.whole(&mut job, running).await {
-                Ok(Some((head, body))) => return Answer::Whole { head, body },
+                Ok(Some((head, body))) => return Response::Complete { head, body },
                 Ok(None) => {}
-                Err(refusal) => return Answer::Refused(refusal),
+                Err(refusal) => return Response::Refused(refusal),
             }
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -130,22 +130,22 @@
 
 /// What a caller gets.
 #[derive(Debug)]
-pub enum Answer {
+pub enum Response {
     /// An endpoint's whole answer.
-    Whole { head: http1::Head, body: Bytes },
+    Complete { head: http1::Head, body: Bytes },
     /// An endpoint's stream.
     Stream { head: http1::Head, body: event_stream::EventStream },
     /// The router's own answer.
     Refused(error::Refusal),
 }
 
-impl Answer {
+impl Response {
     /// What came of the request, in one word.
     #[must_use]
     pub fn outcome(&self) -> &'static str {
         match self {
-            Self::Whole { head, .. } if head.status >= 500 => "endpoint_failed",
-            Self::Whole { .. } => "whole",
+            Self::Complete { head, .. } if head.status >= 500 => "endpoint_failed",
+            Self::Complete { .. } => "whole",
             Self::Stream { .. } => "stream",
             Self::Refused(refusal) => refusal.kind.answer().code,
         }
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -8,7 +8,7 @@
 use super::attempt::Failure;
 use super::job::Job;
 use super::policy::{choose, limits};
-use super::request::{Answer, Request};
+use super::request::{Request, Response};
 use super::{Gateway, directory, metrics};
 use crate::error;
 
@@ -89,15 +89,15 @@
     }
 
     /// The answer that a request got.
-    pub(super) fn log_answer(
+    pub(super) fn log_response(
         &self,
         id: &str,
         asked: &RequestedPath,
-        answer: &Answer,
+        answer: &Response,
         took_ms: u64,
     ) {
         match answer {
-            Answer::Refused(refusal) => {
+            Response::Refused(refusal) => {
                 slog::info!(self.log, "refused"; "request" => id, "took_ms" => took_ms,
                     "status" => refusal.kind.answer().status,
                     "kind" => refusal.kind.answer().code, "ran" => refusal.ran.to_string(),
@@ -105,7 +105,7 @@
                     "path" => asked.path.as_str(), "version" => self.config_version(),
                     "detail" => refusal.detail.as_str());
             }
-            Answer::Whole { head, .. } | Answer::Stream { head, .. } => {
+            Response::Complete { head, .. } | Response::Stream { head, .. } => {
                 slog::debug!(self.log, "answered"; "request" => id, "took_ms" => took_ms,
                     "status" => head.status);
             }
