--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -65,16 +65,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
     /// Zero goes first.
-    pub place: usize,
+    pub position: usize,
     /// Places that are told apart.
-    pub of: usize,
+    pub levels: usize,
 }
 
 impl Rank {
     /// The place on a scale from zero to `last`; places share a step only where there are too many.
     #[must_use]
     pub fn scaled(self, last: usize) -> usize {
-        if self.of <= last + 1 { self.place } else { self.place * last / (self.of - 1) }
+        if self.levels <= last + 1 {
+            self.position
+        } else {
+            self.position * last / (self.levels - 1)
+        }
     }
 }
 
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -125,7 +125,7 @@
         slog::debug!(self.log, "sent"; "request" => job.request.id.as_str(),
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
             "version" => job.table.version(), "endpoint" => choice.endpoint.id.as_str(),
-            "priority" => job.priority, "rank" => job.rank().place,
+            "priority" => job.priority, "rank" => job.rank().position,
             "attempt" => job.attempts, "cost_ms" => choice.cost_ms as u64,
             "first_ms" => choice.first_ms as u64, "unread_tokens" => choice.unread_tokens,
             "ahead_tokens" => choice.work.unread_tokens, "running" => choice.work.requests,
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -252,8 +252,8 @@
     /// to them, its short urgent ones would stop in the middle of an answer while its long ones go on.
     #[must_use]
     pub fn rank(&self, priority: u8, route_priority: u8) -> request::Rank {
-        let place = self.ranks.partition_point(|rank| *rank < (priority, route_priority));
-        request::Rank { place, of: self.ranks.len().max(place + 1) }
+        let position = self.ranks.partition_point(|rank| *rank < (priority, route_priority));
+        request::Rank { position, levels: self.ranks.len().max(position + 1) }
     }
 
     /// The service for one request of a route, drawn by weight with `draw` from 0 to 1.
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -100,14 +100,14 @@
         accounts: vec![account("court", Some(0)), account("club", Some(1))],
         ..Parts::default()
     });
-    let place = |own: u8, of_route: u8| table.rank(own, of_route).place;
-    let order = [place(0, 0), place(0, 2), place(1, 0), place(1, 2), place(2, 2)];
+    let position = |own: u8, of_route: u8| table.rank(own, of_route).position;
+    let order = [position(0, 0), position(0, 2), position(1, 0), position(1, 2), position(2, 2)];
     assert!(order.is_sorted_by(|before, after| before < after), "{order:?}");
 }
 
 #[test]
 fn places_share_a_step_only_where_a_scale_has_too_few() {
-    let scaled = |place, of| Rank { place, of }.scaled(9);
+    let scaled = |position, levels| Rank { position, levels }.scaled(9);
     assert_eq!([scaled(0, 5), scaled(4, 5)], [0, 4]);
     assert_eq!([scaled(0, 21), scaled(10, 21), scaled(20, 21)], [0, 4, 9]);
     assert_eq!(scaled(0, 1), 0);
