--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -84,7 +84,7 @@
     async fn held_parts(
         &self,
         engine: &directory::Endpoint,
-    ) -> Result<Vec<request::Part>, store::Failure>;
+    ) -> Result<Vec<request::PromptPart>, store::Failure>;
 
     /// Reports a billing window's counts.
     async fn report_usage(
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -109,7 +109,7 @@
     #[must_use]
     pub fn moving_key(&self) -> u64 {
         let prompt = self.request.prompt.as_ref();
-        let document = prompt.and_then(|prompt| prompt.shared().last());
+        let document = prompt.and_then(|prompt| prompt.shared_parts().last());
         document.map_or_else(|| xxh3::xxh3_64(self.request.id.as_bytes()), |part| part.id)
     }
 
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -21,7 +21,7 @@
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
 use crate::gateway::policy::{gate, health, homes, load, pauses, reading};
-use crate::gateway::request::{Part, Prompt};
+use crate::gateway::request::{Prompt, PromptPart};
 use crate::gateway::route;
 
 /// What each running request adds to the time to a first event, by its part of each step.
@@ -158,7 +158,7 @@
 }
 
 fn has_document(endpoint: &Endpoint, prompt: &Prompt, known: &Known<'_>) -> bool {
-    let document = prompt.shared().last();
+    let document = prompt.shared_parts().last();
     document.is_some_and(|part| known.homes.has(endpoint.key, part.id, known.now_ms))
 }
 
@@ -184,8 +184,8 @@
 /// Where the last shared part belongs, if nobody has it who takes requests. The first would not do: a few first parts
 /// are common to hundreds of documents, which would all go to the same few endpoints.
 fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, known: &Known<'_>) -> Favourites {
-    let is_new = |part: &&Part| !known.homes.is_at_any(candidates, part.id, known.now_ms);
-    let Some(part) = prompt.shared().last().filter(is_new) else {
+    let is_new = |part: &&PromptPart| !known.homes.is_at_any(candidates, part.id, known.now_ms);
+    let Some(part) = prompt.shared_parts().last().filter(is_new) else {
         return [None; RENDEZVOUS_PARTS.len()];
     };
     let weight = |one: &Endpoint| xxh3::xxh3_64_with_seed(one.id.as_bytes(), part.id);
@@ -211,9 +211,10 @@
     let work = known.book.at(endpoint.key, known.now_ms);
     let has_tokens = known.homes.known_tokens(endpoint.key, &prompt.parts, known.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
-    let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
+    let shared_tokens: u32 = prompt.shared_parts().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
-    let document_tokens = prompt.shared().last().map_or(0, |part| part.tokens).min(missing_tokens);
+    let document_tokens =
+        prompt.shared_parts().last().map_or(0, |part| part.tokens).min(missing_tokens);
     let document_ms = known.reading.ms(u64::from(document_tokens));
     let beginning_ms = known.reading.ms(u64::from(missing_tokens - document_tokens));
     let crowd_ms = f64::from(work.requests) * CROWD_MS
--- a/src/gateway/policy/homes.rs
+++ b/src/gateway/policy/homes.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::request::Part;
+use crate::gateway::request::PromptPart;
 
 /// How long a part is taken to stay in an endpoint's memory after its last use: about as long as an
 /// engine takes to read as much as it holds.
@@ -64,7 +64,7 @@
 
 impl Homes {
     /// Notes that these parts were sent to an endpoint, by this entry.
-    pub fn place(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn place(&mut self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) {
         for part in parts {
             let told_ms = self.told_ms(endpoint, part.id);
             if told_ms.is_none_or(|told_ms| now_ms >= told_ms + TELL_AGAIN_MS) {
@@ -81,7 +81,7 @@
     }
 
     /// Notes parts that an endpoint holds, without telling the other entries.
-    pub fn recall(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn recall(&mut self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) {
         for part in parts {
             self.hold(part.id, Held { endpoint, used_ms: now_ms, told_ms: now_ms });
         }
@@ -123,7 +123,7 @@
 
     /// Tokens at the start of a prompt that an endpoint has already.
     #[must_use]
-    pub fn known_tokens(&self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) -> u32 {
+    pub fn known_tokens(&self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) -> u32 {
         parts
             .iter()
             .take_while(|part| self.has(endpoint, part.id, now_ms))
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -10,7 +10,7 @@
 
 /// A part of a prompt that requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Part {
+pub struct PromptPart {
     /// Digest of the part's name.
     pub id: u64,
     pub tokens: u32,
@@ -22,13 +22,13 @@
     pub tokens: u32,
     pub max_output_tokens: u32,
     /// In order; the last belongs to this request or its session alone.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
     /// The parts that other requests have too.
     #[must_use]
-    pub fn shared(&self) -> &[Part] {
+    pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 }
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -6,7 +6,7 @@
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
 use briarwinch::gateway::policy::choose::{self, Known};
 use briarwinch::gateway::policy::{health, homes, load, pauses, reading};
-use briarwinch::gateway::request::{Part, Prompt};
+use briarwinch::gateway::request::{Prompt, PromptPart};
 use briarwinch::gateway::route;
 use compact_str::CompactString;
 use rand::SeedableRng;
@@ -77,7 +77,10 @@
     Prompt {
         tokens: 17_000,
         max_output_tokens: 120,
-        parts: vec![Part { id: document, tokens: 13_300 }, Part { id: session, tokens: 3_700 }],
+        parts: vec![
+            PromptPart { id: document, tokens: 13_300 },
+            PromptPart { id: session, tokens: 3_700 },
+        ],
     }
 }
 
@@ -87,9 +90,9 @@
         tokens: 9_200,
         max_output_tokens: 50,
         parts: vec![
-            Part { id: 1, tokens: 2_500 },
-            Part { id: 100 + document, tokens: 3_800 },
-            Part { id: 10_000 + document, tokens: 2_900 },
+            PromptPart { id: 1, tokens: 2_500 },
+            PromptPart { id: 100 + document, tokens: 3_800 },
+            PromptPart { id: 10_000 + document, tokens: 2_900 },
         ],
     }
 }
@@ -98,7 +101,7 @@
     Prompt {
         tokens: 1_400,
         max_output_tokens: 170,
-        parts: vec![Part { id: session, tokens: 1_400 }],
+        parts: vec![PromptPart { id: session, tokens: 1_400 }],
     }
 }
 
@@ -267,7 +270,10 @@
     let guide = |session: u64| Prompt {
         tokens: 715,
         max_output_tokens: 300,
-        parts: vec![Part { id: 7, tokens: 172 }, Part { id: 100 + session, tokens: 543 }],
+        parts: vec![
+            PromptPart { id: 7, tokens: 172 },
+            PromptPart { id: 100 + session, tokens: 543 },
+        ],
     };
     let mut placed_at_home = 0;
     for number in 0..ENTRIES {
@@ -483,10 +489,10 @@
     let endpoints = endpoints(1);
     let mut homes = homes::Homes::default();
     for part in 0..10_000 {
-        homes.place(endpoints[0].key, &[Part { id: part, tokens: 10 }], NOW_MS);
+        homes.place(endpoints[0].key, &[PromptPart { id: part, tokens: 10 }], NOW_MS);
     }
     let told = homes.take_untold(usize::MAX);
     assert!(told.len() <= 2_000, "{}", told.len());
-    let first = [Part { id: 0, tokens: 10 }];
+    let first = [PromptPart { id: 0, tokens: 10 }];
     assert_eq!(homes.known_tokens(endpoints[0].key, &first, NOW_MS), 10, "it is still known here");
 }
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -113,19 +113,19 @@
 /// Prompt parts that one entry has placed are known to all, so that nobody has them read again.
 #[test]
 fn placed_parts_reach_every_entry() {
-    use briarwinch::gateway::request::Part;
+    use briarwinch::gateway::request::PromptPart;
     for (entries, zones) in SIZES {
         let mut fleet = Fleet::open(entries, zones, 0.0);
         fleet.settles_within_ms(1_500);
         fleet.run_ms(500);
         for index in 0..entries {
-            let part = Part { id: index as u64, tokens: 3_000 };
+            let part = PromptPart { id: index as u64, tokens: 3_000 };
             fleet.nodes[index].homes.place(key(index), &[part], fleet.now_ms);
         }
         fleet.run_ms(300);
         for node in &fleet.nodes {
             let is_missing = |index: &usize| {
-                let part = Part { id: *index as u64, tokens: 3_000 };
+                let part = PromptPart { id: *index as u64, tokens: 3_000 };
                 node.homes.known_tokens(key(*index), &[part], fleet.now_ms) == 0
             };
             assert_eq!((0..entries).filter(is_missing).count(), 0, "{entries} entries");
