--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -59,7 +59,7 @@
     /// closes.
     running: Option<Running>,
     splitter: event_splitter::EventSplitter,
-    last_id: Option<u64>,
+    last_event_id: Option<u64>,
     pace: Pace,
     is_over: bool,
 }
@@ -95,13 +95,13 @@
     job: Job,
     running: Running,
 ) -> Result<(http1::Head, EventStream), error::Refusal> {
-    let last_id = job.request.after_event;
+    let last_event_id = job.request.last_event_id;
     let mut source = Source {
         gateway: Rc::clone(gateway),
         job,
         running: Some(running),
         splitter: event_splitter::EventSplitter::default(),
-        last_id,
+        last_event_id,
         pace: Pace::default(),
         is_over: false,
     };
@@ -131,7 +131,7 @@
         let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
         metrics::stream_ended(&self.job.service().name, "caller_left");
         slog::info!(self.gateway.log, "caller left"; "request" => self.job.request.id.as_str(),
-            "event" => self.last_id, "took_ms" => took_ms);
+            "event" => self.last_event_id, "took_ms" => took_ms);
     }
 }
 
@@ -189,7 +189,7 @@
                         self.is_over = true;
                         metrics::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
-                            "request" => self.job.request.id.as_str(), "event" => self.last_id);
+                            "request" => self.job.request.id.as_str(), "event" => self.last_event_id);
                         return Some(Err(StreamInterrupted));
                     }
                 }
@@ -217,13 +217,13 @@
             if events.bytes.is_empty() {
                 continue;
             }
-            if let (Some(first), Some(last)) = (events.first_id, self.last_id)
+            if let (Some(first), Some(last)) = (events.first_id, self.last_event_id)
                 && first <= last
             {
                 // Sent on, the caller would have a piece twice.
                 return Step::Lost(http1::Error::Malformed);
             }
-            self.last_id = events.last_id.or(self.last_id);
+            self.last_event_id = events.last_id.or(self.last_event_id);
             self.pace.event(self.gateway.now_ms());
             return Step::Events(events.bytes);
         }
@@ -288,7 +288,7 @@
             gateway.unreachable(endpoint);
         }
         slog::info!(gateway.log, "stream lost"; "request" => self.job.request.id.as_str(),
-            "endpoint" => endpoint.id.as_str(), "event" => self.last_id,
+            "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id,
             "detail" => error.to_string(), "attempt" => self.job.attempts);
     }
 
@@ -298,14 +298,14 @@
             return false;
         }
         self.running = None;
-        self.job.request.after_event = self.last_id;
+        self.job.request.last_event_id = self.last_event_id;
         let Ok(running) = self.gateway.run(&mut self.job).await else {
             return false;
         };
         let is_stream = (200..300).contains(&running.head.status);
         metrics::stream_ended(&self.job.service().name, "taken_up");
         slog::info!(self.gateway.log, "stream taken up"; "request" => self.job.request.id.as_str(),
-            "endpoint" => running.endpoint.id.as_str(), "event" => self.last_id,
+            "endpoint" => running.endpoint.id.as_str(), "event" => self.last_event_id,
             "status" => running.head.status);
         self.running = Some(running);
         self.splitter = event_splitter::EventSplitter::default();
@@ -336,7 +336,7 @@
         }
         metrics::stream_ended(&self.job.service().name, "whole");
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
-            "endpoint" => endpoint.id.as_str(), "event" => self.last_id, "took_ms" => took_ms,
+            "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id, "took_ms" => took_ms,
             "first_ms" => self.pace.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
             "longest_pause_ms" => self.pace.longest_pause_ms);
     }
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -96,7 +96,7 @@
             endpoint_id,
             account: self.account.as_deref(),
             rank: self.request.prompt.is_some().then(|| self.rank()),
-            after_event: self.request.after_event,
+            last_event_id: self.request.last_event_id,
         }
     }
 
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -83,8 +83,8 @@
         let account = if route.is_public || !table.has_accounts() {
             None
         } else {
-            let sent = request.key.as_deref().ok_or_else(|| refuse(error::Kind::MissingKey))?;
-            Some(table.account_of(sent).ok_or_else(|| refuse(error::Kind::InvalidKey))?)
+            let sent = request.api_key.as_deref().ok_or_else(|| refuse(error::Kind::MissingKey))?;
+            Some(table.account_for_key(sent).ok_or_else(|| refuse(error::Kind::InvalidKey))?)
         };
         if request.body.len() > table.max_body_bytes() {
             return Err(refuse(error::Kind::BodyTooLarge));
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -47,10 +47,10 @@
     pub body: Bytes,
     /// How long the caller waits.
     pub deadline_ms: Option<u32>,
-    pub key: Option<CompactString>,
+    pub api_key: Option<CompactString>,
     pub prompt: Option<Prompt>,
     /// The caller has the stream up to this event.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 impl Request {
@@ -94,7 +94,7 @@
     /// Where the endpoint queues prompts by rank.
     pub rank: Option<Rank>,
     /// Events that the caller has already.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What the head of an endpoint's answer says.
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -236,7 +236,7 @@
 
     /// The account that holds this key.
     #[must_use]
-    pub fn account_of(&self, key: &str) -> Option<&Account> {
+    pub fn account_for_key(&self, key: &str) -> Option<&Account> {
         self.by_key.get(key).map(|account| &self.parts.accounts[account.0 as usize])
     }
 
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -78,8 +78,8 @@
 #[test]
 fn keys_name_their_account() {
     let table = table();
-    assert_eq!(table.account_of("key-2").map(|one| one.name.as_str()), Some("court"));
-    assert!(table.account_of("key-3").is_none());
+    assert_eq!(table.account_for_key("key-2").map(|one| one.name.as_str()), Some("court"));
+    assert!(table.account_for_key("key-3").is_none());
     assert!(table.has_accounts());
 }
 
