--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -105,10 +105,10 @@
 
 /// How long to wait for the head of an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct ResponseTimeout {
     /// Past this the endpoint must have been heard of lately, on any connection.
-    pub if_silent_ms: u64,
-    pub at_most_ms: u64,
+    pub silent_ms: u64,
+    pub max_ms: u64,
 }
 
 impl Gateway {
@@ -117,7 +117,7 @@
         self: &Rc<Self>,
         job: &job::Job,
         choice: &choose::Choice<'_>,
-        patience: Patience,
+        timeout: ResponseTimeout,
     ) -> Result<Running, Failure> {
         let ticket = Ticket::open(self, choice);
         let endpoint = choice.endpoint.clone();
@@ -139,16 +139,13 @@
         let answered = {
             let head = self.matching_head(&mut connection, &bytes, job);
             tokio::pin!(head);
-            let mut limit_ms = patience.if_silent_ms.min(patience.at_most_ms);
+            let mut limit_ms = timeout.silent_ms.min(timeout.max_ms);
             loop {
                 let left_ms = (now_ms + limit_ms).saturating_sub(self.now_ms());
                 match time::timeout(Duration::from_millis(left_ms), &mut head).await {
                     Ok(answered) => break answered,
-                    Err(_)
-                        if limit_ms < patience.at_most_ms
-                            && self.is_alive(endpoint.key, now_ms) =>
-                    {
-                        limit_ms = (limit_ms + health::ALIVE_MS).min(patience.at_most_ms);
+                    Err(_) if limit_ms < timeout.max_ms && self.is_alive(endpoint.key, now_ms) => {
+                        limit_ms = (limit_ms + health::ALIVE_MS).min(timeout.max_ms);
                     }
                     Err(_) => break Err(http1::Error::TimedOut),
                 }
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -237,10 +237,10 @@
         };
         let began_ms = gateway.now_ms();
         let left_ms = self.job.left_ms(began_ms);
-        let patience_ms = self.job.stream_patience_ms();
+        let timeout_ms = self.job.stream_timeout_ms();
         let can_move = self.job.kind.is_repeatable() && self.job.has_attempt_left(began_ms);
         let (mut limit_ms, most_ms) = if can_move {
-            ((patience_ms * 2 / 5).min(left_ms), (patience_ms * 4 / 5).min(left_ms))
+            ((timeout_ms * 2 / 5).min(left_ms), (timeout_ms * 4 / 5).min(left_ms))
         } else {
             (left_ms, left_ms)
         };
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use xxhash_rust::xxh3;
 
-use super::attempt::Patience;
+use super::attempt::ResponseTimeout;
 use super::directory::EndpointKey;
 use super::request::{EndpointRequest, Rank, Request};
 use super::{metrics, route, shared};
@@ -115,7 +115,7 @@
 
     /// How long a caller of this stream waits for its next event.
     #[must_use]
-    pub fn stream_patience_ms(&self) -> u64 {
+    pub fn stream_timeout_ms(&self) -> u64 {
         let route = self.route();
         STREAM_PATIENCE_MS.max(4 * u64::from(route.target_ms)).max(8 * u64::from(route.pause_ms))
     }
@@ -131,21 +131,21 @@
     /// A wait ends early only where the request may run again elsewhere. A stream's endpoint may be
     /// silent for a queue's length, so its silence counts only when it says nothing to anybody.
     #[must_use]
-    pub(super) fn patience(&self, first_ms: f64, now_ms: u64) -> Patience {
+    pub(super) fn response_timeout(&self, first_ms: f64, now_ms: u64) -> ResponseTimeout {
         let left_ms = self.left_ms(now_ms);
         if !self.kind.is_repeatable() || self.attempts >= self.route().max_attempts {
-            return Patience { if_silent_ms: left_ms, at_most_ms: left_ms };
+            return ResponseTimeout { silent_ms: left_ms, max_ms: left_ms };
         }
         let target_ms = u64::from(self.route().target_ms);
         if self.kind.is_stream() {
-            let patience_ms = self.stream_patience_ms();
-            return Patience {
-                if_silent_ms: (patience_ms * 2 / 5).min(left_ms),
-                at_most_ms: (patience_ms / 2).max(first_ms as u64 * SLOW_TIMES).min(left_ms),
+            let timeout_ms = self.stream_timeout_ms();
+            return ResponseTimeout {
+                silent_ms: (timeout_ms * 2 / 5).min(left_ms),
+                max_ms: (timeout_ms / 2).max(first_ms as u64 * SLOW_TIMES).min(left_ms),
             };
         }
         // Half of what is left stays for the other endpoint.
         let wait_ms = target_ms.min(left_ms / 2);
-        Patience { if_silent_ms: wait_ms, at_most_ms: wait_ms }
+        ResponseTimeout { silent_ms: wait_ms, max_ms: wait_ms }
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -183,12 +183,12 @@
             }
             job.tried.push(choice.endpoint.key);
             job.attempts += 1;
-            let patience = job.patience(choice.first_ms, now_ms);
+            let timeout = job.response_timeout(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
             if !job.kind.is_stream() && job.account.is_some() && !job.is_counted {
                 job.uncounted = Some(self.shared.begin_uncounted());
             }
-            let failure = match self.attempt(job, &choice, patience).await {
+            let failure = match self.attempt(job, &choice, timeout).await {
                 Ok(running) => {
                     job.has_arrived = true;
                     metrics::send_outcome(&job.service().name, "answered");
@@ -268,7 +268,7 @@
             zone: &self.shared.settings.zone,
             now_ms,
             target_ms: f64::from(job.route().target_ms),
-            patience_ms: job.stream_patience_ms() as f64,
+            patience_ms: job.stream_timeout_ms() as f64,
             refused_zones: &job.refused_zones,
             reading: &self.shared.reading(&service.name),
         };
