--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -30,37 +30,37 @@
 
 /// Keeps an endpoint's share of the load book for as long as a request is under way there.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct LoadGuard {
     gateway: Rc<Gateway>,
     endpoint: EndpointKey,
     work: load::Work,
     /// Tokens that are read before the first event, with those of others ahead.
-    before_tokens: u64,
+    prefill_tokens: u64,
 }
 
-impl Ticket {
+impl LoadGuard {
     fn open(gateway: &Rc<Gateway>, choice: &choose::Choice<'_>) -> Self {
         let work = load::Work { requests: 1, unread_tokens: u64::from(choice.unread_tokens) };
         gateway.shared.book().add(choice.endpoint.key, work, gateway.now_ms());
-        let before_tokens = choice.work.unread_tokens + work.unread_tokens;
-        Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, before_tokens }
+        let prefill_tokens = choice.work.unread_tokens + work.unread_tokens;
+        Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, prefill_tokens }
     }
 
     /// Tokens that were to be read before the first event when the request was sent.
     #[must_use]
-    pub fn before_tokens(&self) -> u64 {
-        self.before_tokens
+    pub fn prefill_tokens(&self) -> u64 {
+        self.prefill_tokens
     }
 
     /// The prompt has been read: the first event is there.
-    pub fn first_event(&mut self) {
+    pub fn prefill_done(&mut self) {
         let read = load::Work { requests: 0, unread_tokens: self.work.unread_tokens };
         self.gateway.shared.book().remove(self.endpoint, read);
         self.work.unread_tokens = 0;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         self.gateway.shared.book().remove(self.endpoint, self.work);
     }
@@ -68,12 +68,12 @@
 
 /// A request under way at an endpoint, with the head of its answer read.
 #[derive(Debug)]
-pub struct Running {
+pub struct OpenResponse {
     pub endpoint: directory::Endpoint,
     pub connection: http1::Connection,
     pub head: http1::Head,
     pub info: request::ResponseInfo,
-    pub ticket: Ticket,
+    pub load_guard: LoadGuard,
     pub sent_ms: u64,
 }
 
@@ -87,7 +87,7 @@
     /// Another endpoint has the address now.
     WrongEndpoint,
     /// The endpoint takes nothing more since it was chosen; nothing was sent.
-    Closed,
+    NoLongerEligible,
     /// It may have run.
     Unknown(http1::Error),
 }
@@ -95,9 +95,9 @@
 impl Failure {
     /// Whether some endpoint has seen the request, so that another send repeats it there.
     #[must_use]
-    pub fn arrived(&self) -> bool {
+    pub fn reached_endpoint(&self) -> bool {
         match self {
-            Self::NotSent(_) | Self::Closed => false,
+            Self::NotSent(_) | Self::NoLongerEligible => false,
             Self::NotRun { .. } | Self::WrongEndpoint | Self::Unknown(_) => true,
         }
     }
@@ -118,14 +118,14 @@
         job: &job::Job,
         choice: &choose::Choice<'_>,
         timeout: ResponseTimeout,
-    ) -> Result<Running, Failure> {
-        let ticket = Ticket::open(self, choice);
+    ) -> Result<OpenResponse, Failure> {
+        let load_guard = LoadGuard::open(self, choice);
         let endpoint = choice.endpoint.clone();
         let mut connection = self.connection(job, &endpoint).await?;
         let now_ms = self.now_ms();
         if !self.takes_one_more(&endpoint, now_ms) {
             self.pool.borrow_mut().give(endpoint.addr, connection, now_ms);
-            return Err(Failure::Closed);
+            return Err(Failure::NoLongerEligible);
         }
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().note(endpoint.key, now_ms);
@@ -165,7 +165,7 @@
                     self.keep_when_read(&endpoint, connection).await;
                     return Err(failure);
                 }
-                Ok(Running { endpoint, connection, head, info, ticket, sent_ms: now_ms })
+                Ok(OpenResponse { endpoint, connection, head, info, load_guard, sent_ms: now_ms })
             }
             Err(error) => {
                 self.unreachable(&endpoint);
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -10,7 +10,7 @@
 use futures_util::{Stream, stream};
 use tokio::time;
 
-use super::attempt::Running;
+use super::attempt::OpenResponse;
 use super::job::Job;
 use super::{Gateway, event_splitter, http1, metrics};
 use crate::error;
@@ -57,7 +57,7 @@
     job: Job,
     /// None while another endpoint is sought: the former one stops its work when its connection
     /// closes.
-    running: Option<Running>,
+    response: Option<OpenResponse>,
     splitter: event_splitter::EventSplitter,
     last_event_id: Option<u64>,
     pace: Pace,
@@ -93,13 +93,13 @@
 pub(super) async fn open(
     gateway: &Rc<Gateway>,
     job: Job,
-    running: Running,
+    response: OpenResponse,
 ) -> Result<(http1::Head, EventStream), error::Refusal> {
     let last_event_id = job.request.last_event_id;
     let mut source = Source {
         gateway: Rc::clone(gateway),
         job,
-        running: Some(running),
+        response: Some(response),
         splitter: event_splitter::EventSplitter::default(),
         last_event_id,
         pace: Pace::default(),
@@ -110,9 +110,9 @@
     let first = first?;
     // Headers and signature are those of the endpoint whose events go out first.
     let head = source
-        .running
+        .response
         .as_ref()
-        .map(|running| running.head.clone())
+        .map(|response| response.head.clone())
         .ok_or_else(|| gateway.given_up(&source.job, error::Kind::EndpointFailed))?;
     let rest = stream::unfold(source, async |mut source| {
         let next = source.next().await?;
@@ -207,9 +207,9 @@
                 Ok(None) => return Step::End,
                 Err(error) => return Step::Lost(error),
             };
-            if let Some(running) = &self.running {
+            if let Some(response) = &self.response {
                 let now_ms = self.gateway.now_ms();
-                self.gateway.health.borrow_mut().heard(running.endpoint.key, now_ms);
+                self.gateway.health.borrow_mut().heard(response.endpoint.key, now_ms);
             }
             let Some(events) = self.splitter.push(&piece) else {
                 return Step::Lost(http1::Error::Malformed);
@@ -232,7 +232,7 @@
     /// The next piece of the endpoint's body, for as long as there is hope.
     async fn piece(&mut self) -> Result<Option<Bytes>, http1::Error> {
         let gateway = Rc::clone(&self.gateway);
-        let Some(running) = self.running.as_mut() else {
+        let Some(response) = self.response.as_mut() else {
             return Err(http1::Error::Closed);
         };
         let began_ms = gateway.now_ms();
@@ -247,10 +247,10 @@
         loop {
             let now_ms = gateway.now_ms();
             let wait = Duration::from_millis((began_ms + limit_ms).saturating_sub(now_ms));
-            match time::timeout(wait, running.connection.next_piece()).await {
+            match time::timeout(wait, response.connection.next_piece()).await {
                 Ok(piece) => return piece,
                 Err(_)
-                    if limit_ms < most_ms && gateway.is_alive(running.endpoint.key, began_ms) =>
+                    if limit_ms < most_ms && gateway.is_alive(response.endpoint.key, began_ms) =>
                 {
                     limit_ms = most_ms;
                 }
@@ -260,29 +260,29 @@
     }
 
     fn mark_first_event(&mut self) {
-        if let Some(running) = &mut self.running {
-            running.ticket.first_event();
+        if let Some(response) = &mut self.response {
+            response.load_guard.prefill_done();
         }
     }
 
     /// Learns from the first event of an answer how fast engines read.
     fn learn_reading(&self) {
-        let Some(running) = &self.running else {
+        let Some(response) = &self.response else {
             return;
         };
-        let took_ms = self.gateway.now_ms() - running.sent_ms;
+        let took_ms = self.gateway.now_ms() - response.sent_ms;
         let service = &self.job.service().name;
-        self.gateway.shared.learn_reading(service, running.ticket.before_tokens(), took_ms);
+        self.gateway.shared.learn_reading(service, response.load_guard.prefill_tokens(), took_ms);
     }
 
     fn note_lost(&mut self, error: &http1::Error) {
         self.job.may_have_run = true;
-        let Some(running) = &self.running else {
+        let Some(response) = &self.response else {
             return;
         };
-        let (gateway, endpoint) = (&self.gateway, &running.endpoint);
+        let (gateway, endpoint) = (&self.gateway, &response.endpoint);
         let now_ms = gateway.now_ms();
-        let took_ms = now_ms - running.sent_ms;
+        let took_ms = now_ms - response.sent_ms;
         gateway.health.borrow_mut().ended(endpoint.key, false, took_ms, now_ms);
         if matches!(error, http1::Error::TimedOut) && now_ms < self.job.end_ms {
             gateway.unreachable(endpoint);
@@ -297,31 +297,31 @@
         if !self.job.kind.is_repeatable() || !self.job.has_attempt_left(self.gateway.now_ms()) {
             return false;
         }
-        self.running = None;
+        self.response = None;
         self.job.request.last_event_id = self.last_event_id;
-        let Ok(running) = self.gateway.run(&mut self.job).await else {
+        let Ok(response) = self.gateway.run(&mut self.job).await else {
             return false;
         };
-        let is_stream = (200..300).contains(&running.head.status);
+        let is_stream = (200..300).contains(&response.head.status);
         metrics::stream_ended(&self.job.service().name, "taken_up");
         slog::info!(self.gateway.log, "stream taken up"; "request" => self.job.request.id.as_str(),
-            "endpoint" => running.endpoint.id.as_str(), "event" => self.last_event_id,
-            "status" => running.head.status);
-        self.running = Some(running);
+            "endpoint" => response.endpoint.id.as_str(), "event" => self.last_event_id,
+            "status" => response.head.status);
+        self.response = Some(response);
         self.splitter = event_splitter::EventSplitter::default();
         is_stream
     }
 
     fn finish(&mut self) {
         self.is_over = true;
-        let Some(running) = self.running.take() else {
+        let Some(response) = self.response.take() else {
             return;
         };
         let now_ms = self.gateway.now_ms();
-        let endpoint = &running.endpoint;
-        let took_ms = now_ms - running.sent_ms;
+        let endpoint = &response.endpoint;
+        let took_ms = now_ms - response.sent_ms;
         self.gateway.health.borrow_mut().ended(endpoint.key, true, took_ms, now_ms);
-        self.gateway.pool.borrow_mut().give(endpoint.addr, running.connection, now_ms);
+        self.gateway.pool.borrow_mut().give(endpoint.addr, response.connection, now_ms);
         self.gateway.pauses.borrow_mut().ended(
             endpoint.key,
             self.pace.events,
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 use tokio::time;
 
-use super::attempt::{Failure, Running};
+use super::attempt::{Failure, OpenResponse};
 use super::job::{Active, Job};
 use super::policy::choose;
 use super::request::{Request, Response};
@@ -129,17 +129,17 @@
     /// Sends the request until an endpoint answers, or nothing is left to try.
     async fn carry(self: &Rc<Self>, mut job: Job) -> Response {
         loop {
-            let running = match self.run(&mut job).await {
-                Ok(running) => running,
+            let response = match self.run(&mut job).await {
+                Ok(response) => response,
                 Err(refusal) => return Response::Refused(refusal),
             };
-            if job.kind.is_stream() && (200..300).contains(&running.head.status) {
-                return match event_stream::open(self, job, running).await {
+            if job.kind.is_stream() && (200..300).contains(&response.head.status) {
+                return match event_stream::open(self, job, response).await {
                     Ok((head, body)) => Response::Stream { head, body },
                     Err(refusal) => Response::Refused(refusal),
                 };
             }
-            match self.whole(&mut job, running).await {
+            match self.whole(&mut job, response).await {
                 Ok(Some((head, body))) => return Response::Complete { head, body },
                 Ok(None) => {}
                 Err(refusal) => return Response::Refused(refusal),
@@ -148,7 +148,10 @@
     }
 
     /// Sends the request to one endpoint after another until one begins to answer.
-    pub(super) async fn run(self: &Rc<Self>, job: &mut Job) -> Result<Running, error::Refusal> {
+    pub(super) async fn run(
+        self: &Rc<Self>,
+        job: &mut Job,
+    ) -> Result<OpenResponse, error::Refusal> {
         let mut unsent = 0;
         let hold_ms = (f64::from(job.route().target_ms) * HOLD_PART) as u64;
         loop {
@@ -189,14 +192,14 @@
                 job.uncounted = Some(self.shared.begin_uncounted());
             }
             let failure = match self.attempt(job, &choice, timeout).await {
-                Ok(running) => {
+                Ok(response) => {
                     job.has_arrived = true;
                     metrics::send_outcome(&job.service().name, "answered");
-                    return Ok(running);
+                    return Ok(response);
                 }
                 Err(failure) => failure,
             };
-            job.has_arrived |= failure.arrived();
+            job.has_arrived |= failure.reached_endpoint();
             self.log_failure(job, &choice, &failure);
             match failure {
                 Failure::NotSent(_) => {
@@ -208,7 +211,7 @@
                         return Err(self.given_up(job, error::Kind::NoEndpoint));
                     }
                 }
-                Failure::Closed => {
+                Failure::NoLongerEligible => {
                     // It may take this request later, once it is warm or taken back.
                     job.tried.pop();
                     job.uncounted = None;
@@ -285,42 +288,42 @@
     async fn whole(
         self: &Rc<Self>,
         job: &mut Job,
-        mut running: Running,
+        mut response: OpenResponse,
     ) -> Result<Option<(http1::Head, bytes::Bytes)>, error::Refusal> {
-        self.count(job, running.sent_ms);
+        self.count(job, response.sent_ms);
         let left = Duration::from_millis(job.left_ms(self.now_ms()));
-        let read = time::timeout(left, running.connection.rest(MAX_WHOLE_BYTES)).await;
+        let read = time::timeout(left, response.connection.rest(MAX_WHOLE_BYTES)).await;
         let now_ms = self.now_ms();
-        let took_ms = now_ms - running.sent_ms;
-        let is_failure = running.head.status >= 500;
+        let took_ms = now_ms - response.sent_ms;
+        let is_failure = response.head.status >= 500;
         let body = match read {
             Err(_) => {
                 job.may_have_run = true;
                 return Err(self.given_up(job, error::Kind::DeadlineExceeded));
             }
             Ok(Err(_)) => None,
-            Ok(Ok(_)) if !running.info.is_signed => None,
+            Ok(Ok(_)) if !response.info.is_signed => None,
             Ok(Ok(body)) => Some(body),
         };
         let is_good = body.is_some() && !is_failure;
-        self.health.borrow_mut().ended(running.endpoint.key, is_good, took_ms, now_ms);
+        self.health.borrow_mut().ended(response.endpoint.key, is_good, took_ms, now_ms);
         if !is_good {
             job.may_have_run = true;
             slog::info!(self.log, "endpoint failed"; "request" => job.request.id.as_str(),
-                "endpoint" => running.endpoint.id.as_str(), "status" => running.head.status,
+                "endpoint" => response.endpoint.id.as_str(), "status" => response.head.status,
                 "whole" => body.is_some(), "attempt" => job.attempts);
         }
         match body {
             Some(body) if is_good => {
-                self.pool.borrow_mut().give(running.endpoint.addr, running.connection, now_ms);
-                Ok(Some((running.head, body)))
+                self.pool.borrow_mut().give(response.endpoint.addr, response.connection, now_ms);
+                Ok(Some((response.head, body)))
             }
             Some(body) => {
-                self.pool.borrow_mut().give(running.endpoint.addr, running.connection, now_ms);
+                self.pool.borrow_mut().give(response.endpoint.addr, response.connection, now_ms);
                 if job.kind.is_repeatable() && self.can_retry(job) {
                     return Ok(None);
                 }
-                Ok(Some((running.head, body)))
+                Ok(Some((response.head, body)))
             }
             None if job.kind.is_repeatable() && self.can_retry(job) => Ok(None),
             None => Err(self.given_up(job, error::Kind::EndpointFailed)),
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -139,7 +139,7 @@
             Failure::NotSent(error) => ("not_sent", error.to_string()),
             Failure::NotRun { status, .. } => ("not_run", status.to_string()),
             Failure::WrongEndpoint => ("wrong_endpoint", String::new()),
-            Failure::Closed => ("closed", String::new()),
+            Failure::NoLongerEligible => ("closed", String::new()),
             Failure::Unknown(error) => ("unknown", error.to_string()),
         };
         let retry_after_ms = match failure {
