--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -47,7 +47,7 @@
         let now_ms = self.now_ms();
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
-        let endpoints = snapshot.taking(&job.service().name, job.moving_key(), now_ms);
+        let endpoints = snapshot.taking(&job.service().name, job.evacuation_key(), now_ms);
         endpoints.map(|endpoint| backoff.left_ms(endpoint, now_ms)).min().unwrap_or(0)
     }
 }
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -155,7 +155,7 @@
                 }
                 Step::Lost(error) => {
                     self.note_lost(&error);
-                    if self.gateway.now_ms() >= self.job.end_ms {
+                    if self.gateway.now_ms() >= self.job.deadline_ms {
                         return Err(self
                             .gateway
                             .given_up(&self.job, error::Kind::DeadlineExceeded));
@@ -185,7 +185,7 @@
                 }
                 Step::Lost(error) => {
                     self.note_lost(&error);
-                    if self.gateway.now_ms() >= self.job.end_ms || !self.take_up().await {
+                    if self.gateway.now_ms() >= self.job.deadline_ms || !self.take_up().await {
                         self.is_over = true;
                         metrics::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
@@ -284,7 +284,7 @@
         let now_ms = gateway.now_ms();
         let took_ms = now_ms - response.sent_ms;
         gateway.health.borrow_mut().ended(endpoint.key, false, took_ms, now_ms);
-        if matches!(error, http1::Error::TimedOut) && now_ms < self.job.end_ms {
+        if matches!(error, http1::Error::TimedOut) && now_ms < self.job.deadline_ms {
             gateway.unreachable(endpoint);
         }
         slog::info!(gateway.log, "stream lost"; "request" => self.job.request.id.as_str(),
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -32,35 +32,35 @@
     pub priority: u8,
     pub arrived_ms: u64,
     /// When the caller, or the route, gives up.
-    pub end_ms: u64,
+    pub deadline_ms: u64,
     /// Endpoints that have, or may have, seen it.
-    pub tried: Vec<EndpointKey>,
+    pub tried_endpoints: Vec<EndpointKey>,
     /// Availability zones of those that could not be connected to, one for each.
-    pub refused_zones: Vec<CompactString>,
+    pub unreachable_zones: Vec<CompactString>,
     pub attempts: u32,
     /// Some endpoint has seen it, even if it did not run it: each further send is a retry.
-    pub has_arrived: bool,
+    pub reached_endpoint: bool,
     /// Some endpoint may have run it.
     pub may_have_run: bool,
     /// It stands on its account's bill.
-    pub(super) is_counted: bool,
+    pub(super) is_billed: bool,
     /// Held while a send may still turn out to have run.
-    pub(super) uncounted: Option<shared::Uncounted>,
-    pub(super) _active: Active,
+    pub(super) pending_billing: Option<shared::Uncounted>,
+    pub(super) _active: ActiveGuard,
 }
 
 /// Counts a request while it is under way.
 #[derive(Debug)]
-pub(super) struct Active(Arc<shared::Shared>);
+pub(super) struct ActiveGuard(Arc<shared::Shared>);
 
-impl Active {
+impl ActiveGuard {
     pub(super) fn begin(shared: &Arc<shared::Shared>) -> Self {
         metrics::active_requests(shared.active.fetch_add(1, Ordering::AcqRel) + 1);
         Self(Arc::clone(shared))
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         metrics::active_requests(self.0.active.fetch_sub(1, Ordering::AcqRel) - 1);
     }
@@ -102,12 +102,12 @@
 
     #[must_use]
     pub fn left_ms(&self, now_ms: u64) -> u64 {
-        self.end_ms.saturating_sub(now_ms)
+        self.deadline_ms.saturating_sub(now_ms)
     }
 
     /// When the request stays away from a zone that is evacuated: with those that share its document.
     #[must_use]
-    pub fn moving_key(&self) -> u64 {
+    pub fn evacuation_key(&self) -> u64 {
         let prompt = self.request.prompt.as_ref();
         let document = prompt.and_then(|prompt| prompt.shared_parts().last());
         document.map_or_else(|| xxh3::xxh3_64(self.request.id.as_bytes()), |part| part.id)
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 use tokio::time;
 
 use super::attempt::{Failure, OpenResponse};
-use super::job::{Active, Job};
+use super::job::{ActiveGuard, Job};
 use super::policy::choose;
 use super::request::{Request, Response};
 use super::{Gateway, event_stream, http1, metrics, request_log, shared};
@@ -113,15 +113,15 @@
             account,
             priority,
             arrived_ms,
-            end_ms: arrived_ms + u64::from(wait_ms),
-            tried: Vec::new(),
-            refused_zones: Vec::new(),
+            deadline_ms: arrived_ms + u64::from(wait_ms),
+            tried_endpoints: Vec::new(),
+            unreachable_zones: Vec::new(),
             attempts: 0,
-            has_arrived: false,
+            reached_endpoint: false,
             may_have_run: false,
-            is_counted: false,
-            uncounted: None,
-            _active: Active::begin(&self.shared),
+            is_billed: false,
+            pending_billing: None,
+            _active: ActiveGuard::begin(&self.shared),
             table,
         })
     }
@@ -167,7 +167,7 @@
                 time::sleep(LOOK_AGAIN).await;
                 continue;
             };
-            let is_first = !job.has_arrived && unsent == 0;
+            let is_first = !job.reached_endpoint && unsent == 0;
             if is_first
                 && job.request.prompt.is_some()
                 && !self.shared.gate.passes(
@@ -181,31 +181,31 @@
                 self.shared.turned_away().note(&job.service().name, now_ms);
                 return Err(self.given_up(job, error::Kind::TooLate));
             }
-            if job.has_arrived && !self.may_retry(job) {
+            if job.reached_endpoint && !self.may_retry(job) {
                 return Err(self.given_up(job, error::Kind::EndpointFailed));
             }
-            job.tried.push(choice.endpoint.key);
+            job.tried_endpoints.push(choice.endpoint.key);
             job.attempts += 1;
             let timeout = job.response_timeout(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
-            if !job.kind.is_stream() && job.account.is_some() && !job.is_counted {
-                job.uncounted = Some(self.shared.begin_uncounted());
+            if !job.kind.is_stream() && job.account.is_some() && !job.is_billed {
+                job.pending_billing = Some(self.shared.begin_uncounted());
             }
             let failure = match self.attempt(job, &choice, timeout).await {
                 Ok(response) => {
-                    job.has_arrived = true;
+                    job.reached_endpoint = true;
                     metrics::send_outcome(&job.service().name, "answered");
                     return Ok(response);
                 }
                 Err(failure) => failure,
             };
-            job.has_arrived |= failure.reached_endpoint();
+            job.reached_endpoint |= failure.reached_endpoint();
             self.log_failure(job, &choice, &failure);
             match failure {
                 Failure::NotSent(_) => {
-                    job.uncounted = None;
+                    job.pending_billing = None;
                     job.attempts -= 1;
-                    job.refused_zones.push(choice.endpoint.zone.clone());
+                    job.unreachable_zones.push(choice.endpoint.zone.clone());
                     unsent += 1;
                     if unsent > MAX_UNSENT {
                         return Err(self.given_up(job, error::Kind::NoEndpoint));
@@ -213,17 +213,17 @@
                 }
                 Failure::NoLongerEligible => {
                     // It may take this request later, once it is warm or taken back.
-                    job.tried.pop();
-                    job.uncounted = None;
+                    job.tried_endpoints.pop();
+                    job.pending_billing = None;
                     job.attempts -= 1;
                 }
                 Failure::WrongEndpoint => {
                     // It ran nowhere, so it does not count against the route's attempts.
                     job.attempts -= 1;
-                    job.uncounted = None;
+                    job.pending_billing = None;
                     self.misdirected(choice.endpoint);
                 }
-                Failure::NotRun { .. } => job.uncounted = None,
+                Failure::NotRun { .. } => job.pending_billing = None,
                 Failure::Unknown(_) => {
                     job.may_have_run = true;
                     // A stream begins with its first event, and none came.
@@ -256,8 +256,8 @@
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
         let fresh = snapshot
-            .taking(&service.name, job.moving_key(), now_ms)
-            .filter(|one| !job.tried.contains(&one.key) && eligibility.takes(one));
+            .taking(&service.name, job.evacuation_key(), now_ms)
+            .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.takes(one));
         let book = self.shared.book();
         let homes = self.shared.homes();
         let health = self.health.borrow();
@@ -272,7 +272,7 @@
             now_ms,
             target_ms: f64::from(job.route().target_ms),
             patience_ms: job.stream_timeout_ms() as f64,
-            refused_zones: &job.refused_zones,
+            refused_zones: &job.unreachable_zones,
             reading: &self.shared.reading(&service.name),
         };
         choose::choose(
@@ -343,11 +343,11 @@
 
     /// Counts a request that began to run, once, for its account's bill.
     pub(super) fn count(&self, job: &mut Job, began_ms: u64) {
-        if let Some(account) = job.account.as_deref().filter(|_| !job.is_counted) {
+        if let Some(account) = job.account.as_deref().filter(|_| !job.is_billed) {
             self.shared.count(account, self.now_ms().saturating_sub(began_ms));
-            job.is_counted = true;
+            job.is_billed = true;
         }
-        job.uncounted = None;
+        job.pending_billing = None;
     }
 
     /// The final answer of a request that is given up.
