--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -100,7 +100,7 @@
         let exchange = self.exchange.borrow();
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
-            let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
+            let most_per_s = warmup::most_per_s(warm_up.requests_per_s, rate.factor, rate.extra);
             for endpoint in directory.taking(&service.name) {
                 let back_ms =
                     taken_back.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -202,8 +202,8 @@
                 let planner = self
                     .planners
                     .entry(subject.clone())
-                    .or_insert_with(|| Planner::with_start_ms(bounds.start_ms));
-                let limits = config::EndpointBounds { least: bounds.least, most: bounds.most };
+                    .or_insert_with(|| Planner::with_start_ms(bounds.startup_ms));
+                let limits = config::EndpointBounds { least: bounds.min, most: bounds.max };
                 let count = match planner.plan(seen, limits, now_ms) {
                     Plan::Start => before + 1,
                     Plan::Stop => before - 1,
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -85,7 +85,7 @@
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that running requests and cached prompt parts share.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// Endpoints that answer alike.
@@ -105,16 +105,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmUp {
     /// Requests in a second; one that gets far more crashes.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// How many endpoints of a service may run in each availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scaling {
-    pub least: u32,
-    pub most: u32,
+    pub min: u32,
+    pub max: u32,
     /// From an order until a new endpoint serves.
-    pub start_ms: u64,
+    pub startup_ms: u64,
 }
 
 /// A client account.
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const ENGINE: route::Engine = route::Engine { slots: 64, memory_tokens: 620_000 };
+const ENGINE: route::Engine = route::Engine { slots: 64, kv_cache_tokens: 620_000 };
 const NOW_MS: u64 = 1_000_000;
 const TARGET_MS: f64 = 2_000.0;
 const PATIENCE_MS: f64 = 8_000.0;
