--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -51,7 +51,7 @@
 
 /// A service that takes a part of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     pub service: ServiceKey,
     pub weight: u32,
 }
@@ -64,7 +64,7 @@
     /// Begins and ends with a slash.
     pub path_prefix: CompactString,
     pub kind: Kind,
-    pub shares: Vec<Share>,
+    pub weighted_services: Vec<WeightedService>,
     /// Longest time that a request is kept waiting for its whole answer.
     pub timeout_ms: u32,
     /// First event, or whole answer, is in time within this.
@@ -259,15 +259,15 @@
     /// The service for one request of a route, drawn by weight with `draw` from 0 to 1.
     #[must_use]
     pub fn draw_service(&self, route: &Route, draw: f64) -> Option<ServiceKey> {
-        let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
+        let total: u64 = route.weighted_services.iter().map(|one| u64::from(one.weight)).sum();
         let mut left = (draw * total as f64) as u64;
-        for share in &route.shares {
-            let weight = u64::from(share.weight);
+        for one in &route.weighted_services {
+            let weight = u64::from(one.weight);
             if left < weight {
-                return Some(share.service);
+                return Some(one.service);
             }
             left -= weight;
         }
-        route.shares.last().map(|share| share.service)
+        route.weighted_services.last().map(|one| one.service)
     }
 }
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -2,18 +2,20 @@
 
 use briarwinch::gateway::request::Rank;
 use briarwinch::gateway::route::{
-    Account, Kind, Limits, Parts, Route, Service, ServiceKey, Share, Table,
+    Account, Kind, Limits, Parts, Route, Service, ServiceKey, Table, WeightedService,
 };
 
-fn route(host: &str, prefix: &str, shares: &[(u32, u32)]) -> Route {
-    let share =
-        |(service, weight): &(u32, u32)| Share { service: ServiceKey(*service), weight: *weight };
+fn route(host: &str, prefix: &str, weighted_services: &[(u32, u32)]) -> Route {
+    let weighted = |(service, weight): &(u32, u32)| WeightedService {
+        service: ServiceKey(*service),
+        weight: *weight,
+    };
     Route {
         name: prefix.into(),
         host: host.into(),
         path_prefix: prefix.into(),
         kind: Kind::Repeatable,
-        shares: shares.iter().map(share).collect(),
+        weighted_services: weighted_services.iter().map(weighted).collect(),
         timeout_ms: 800,
         target_ms: 300,
         pause_ms: 0,
