--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -39,7 +39,7 @@
 /// Something that the store holds, decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    Config(Box<route::Parts>),
+    Config(Box<route::TableData>),
     Endpoint(directory::Event),
     Evacuation(evacuation::Change),
 }
@@ -285,7 +285,7 @@
     }
 
     /// Takes a configuration, if it is newer than the one in force.
-    pub(super) fn take_table(&self, parts: route::Parts, source: &'static str) {
+    pub(super) fn take_table(&self, parts: route::TableData, source: &'static str) {
         let known = self.config_version();
         if parts.version <= known {
             return;
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -35,7 +35,7 @@
 /// What a pull brings: what its sender has that is newer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct State {
-    config: Option<route::Parts>,
+    config: Option<route::TableData>,
     directory: Option<directory::Directory>,
     lapsed: Vec<directory::Lapsed>,
     cold: Vec<directory::Cold>,
@@ -274,7 +274,7 @@
         let (table, directory) = (control.table.borrow(), control.directory.borrow());
         let newer = table.as_ref().filter(|table| table.version() > wanted.config_version);
         State {
-            config: newer.map(|table| table.parts().clone()),
+            config: newer.map(|table| table.data().clone()),
             directory: (directory.revision() > wanted.directory_revision)
                 .then(|| directory.clone()),
             lapsed: directory.lapsed(control.now_ms()),
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -84,7 +84,7 @@
 pub struct Engine {
     /// Requests in one batch.
     pub slots: u32,
-    /// Tokens that running requests and cached prompt parts share.
+    /// Tokens that running requests and cached prompt data share.
     pub kv_cache_tokens: u64,
 }
 
@@ -135,7 +135,7 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    parts: Parts,
+    data: TableData,
     by_host: HashMap<CompactString, Vec<RouteKey>>,
     by_key: HashMap<CompactString, AccountKey>,
     /// Priorities of requests with those of their routes, all that can occur, in order.
@@ -144,7 +144,7 @@
 
 /// What a table is built from.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Parts {
+pub struct TableData {
     /// Grows with each change that the operators make.
     pub version: u64,
     pub routes: Vec<Route>,
@@ -154,35 +154,35 @@
     pub limits: Option<Limits>,
 }
 
-impl From<Parts> for Table {
-    fn from(parts: Parts) -> Self {
+impl From<TableData> for Table {
+    fn from(data: TableData) -> Self {
         let mut by_host: HashMap<CompactString, Vec<RouteKey>> = HashMap::new();
-        for (index, route) in parts.routes.iter().enumerate() {
+        for (index, route) in data.routes.iter().enumerate() {
             by_host
                 .entry(route.host.to_ascii_lowercase())
                 .or_default()
                 .push(RouteKey(index as u32));
         }
-        let length = |key: &RouteKey| parts.routes[key.0 as usize].path_prefix.len();
+        let length = |key: &RouteKey| data.routes[key.0 as usize].path_prefix.len();
         for keys in by_host.values_mut() {
             keys.sort_by_key(|key| std::cmp::Reverse(length(key)));
         }
         let mut by_key = HashMap::new();
-        for (index, account) in parts.accounts.iter().enumerate() {
+        for (index, account) in data.accounts.iter().enumerate() {
             for key in &account.keys {
                 by_key.insert(key.clone(), AccountKey(index as u32));
             }
         }
-        let ranks = ranks(&parts);
-        Self { parts, by_host, by_key, ranks }
+        let ranks = ranks(&data);
+        Self { data, by_host, by_key, ranks }
     }
 }
 
 /// An account's priority goes before the route's, which decides between requests of equal accounts.
-fn ranks(parts: &Parts) -> Vec<(u8, u8)> {
-    let accounts: BTreeSet<Option<u8>> = parts.accounts.iter().map(|one| one.priority).collect();
+fn ranks(data: &TableData) -> Vec<(u8, u8)> {
+    let accounts: BTreeSet<Option<u8>> = data.accounts.iter().map(|one| one.priority).collect();
     let own = |account: Option<u8>, route: &Route| account.unwrap_or(route.priority);
-    let ranks: BTreeSet<(u8, u8)> = parts
+    let ranks: BTreeSet<(u8, u8)> = data
         .routes
         .iter()
         .flat_map(|route| {
@@ -196,13 +196,13 @@
 impl Table {
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.parts.version
+        self.data.version
     }
 
     /// What the table was built from.
     #[must_use]
-    pub fn parts(&self) -> &Parts {
-        &self.parts
+    pub fn data(&self) -> &TableData {
+        &self.data
     }
 
     /// The route with the longest prefix of the path at this host.
@@ -215,35 +215,35 @@
 
     #[must_use]
     pub fn route(&self, key: RouteKey) -> &Route {
-        &self.parts.routes[key.0 as usize]
+        &self.data.routes[key.0 as usize]
     }
 
     #[must_use]
     pub fn service(&self, key: ServiceKey) -> &Service {
-        &self.parts.services[key.0 as usize]
+        &self.data.services[key.0 as usize]
     }
 
     #[must_use]
     pub fn services(&self) -> &[Service] {
-        &self.parts.services
+        &self.data.services
     }
 
     /// Whether requests need the key of a client account.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
-        !self.parts.accounts.is_empty()
+        !self.data.accounts.is_empty()
     }
 
     /// The account that holds this key.
     #[must_use]
     pub fn account_for_key(&self, key: &str) -> Option<&Account> {
-        self.by_key.get(key).map(|account| &self.parts.accounts[account.0 as usize])
+        self.by_key.get(key).map(|account| &self.data.accounts[account.0 as usize])
     }
 
     /// Longest body that is taken, in bytes.
     #[must_use]
     pub fn max_body_bytes(&self) -> usize {
-        self.parts.limits.map_or(usize::MAX, |limits| limits.max_body_bytes)
+        self.data.limits.map_or(usize::MAX, |limits| limits.max_body_bytes)
     }
 
     /// Where a request of this priority stands, on a route of that priority.
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -2,7 +2,7 @@
 
 use briarwinch::gateway::request::Rank;
 use briarwinch::gateway::route::{
-    Account, Kind, Limits, Parts, Route, Service, ServiceKey, Table, WeightedService,
+    Account, Kind, Limits, Route, Service, ServiceKey, Table, TableData, WeightedService,
 };
 
 fn route(host: &str, prefix: &str, weighted_services: &[(u32, u32)]) -> Route {
@@ -33,7 +33,7 @@
         warm_up: None,
         scaling: None,
     };
-    Table::from(Parts {
+    Table::from(TableData {
         version: 3,
         routes: vec![
             route("one.example", "/a/", &[(0, 1)]),
@@ -97,10 +97,10 @@
         keys: vec![name.into()],
         priority,
     };
-    let table = Table::from(Parts {
+    let table = Table::from(TableData {
         routes: vec![with_priority("/review/", 2), with_priority("/question/", 0)],
         accounts: vec![account("court", Some(0)), account("club", Some(1))],
-        ..Parts::default()
+        ..TableData::default()
     });
     let position = |own: u8, of_route: u8| table.rank(own, of_route).position;
     let order = [position(0, 0), position(0, 2), position(1, 0), position(1, 2), position(2, 2)];
