--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -227,7 +227,7 @@
             }
             slog::warn!(self.log, "stray answer skipped"; "request" => job.request.id.as_str(),
                 "answers" => info.request_id.as_deref().unwrap_or_default());
-            connection.rest(MAX_STRAY_BYTES).await?;
+            connection.read_body(MAX_STRAY_BYTES).await?;
             head = connection.next_head().await?;
         }
         Err(http1::Error::Malformed)
@@ -283,7 +283,7 @@
     ) {
         /// A refusal's body comes with its head.
         const REST: Duration = Duration::from_millis(20);
-        if let Ok(Ok(_)) = time::timeout(REST, connection.rest(MAX_STRAY_BYTES)).await {
+        if let Ok(Ok(_)) = time::timeout(REST, connection.read_body(MAX_STRAY_BYTES)).await {
             self.pool.borrow_mut().give(endpoint.addr, connection, self.now_ms());
         }
     }
--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -93,7 +93,7 @@
     /// The peer, or the framing, ends the connection with this answer.
     closes: bool,
     /// Seconds for which the peer says it keeps an idle connection.
-    idle_s: Option<u64>,
+    keep_alive_s: Option<u64>,
     sent_whole: bool,
 }
 
@@ -114,7 +114,7 @@
             buffer: BytesMut::new(),
             framing: Framing::Done,
             closes: false,
-            idle_s: None,
+            keep_alive_s: None,
             sent_whole: true,
         })
     }
@@ -139,8 +139,8 @@
 
     /// Seconds for which the peer keeps the connection idle, if it said so.
     #[must_use]
-    pub fn idle_s(&self) -> Option<u64> {
-        self.idle_s
+    pub fn keep_alive_s(&self) -> Option<u64> {
+        self.keep_alive_s
     }
 
     /// Sends a request and reads the head of its answer. The peer may answer before it has read
@@ -212,7 +212,7 @@
     fn begin_body(&mut self, head: &Head, keeps: bool) -> Result<(), Error> {
         let connection = head.header("connection").unwrap_or_default().to_ascii_lowercase();
         self.closes = connection.contains("close") || !keeps;
-        self.idle_s = head.header("keep-alive").and_then(idle_s);
+        self.keep_alive_s = head.header("keep-alive").and_then(keep_alive_s);
         let is_chunked = head
             .header("transfer-encoding")
             .is_some_and(|coding| coding.to_ascii_lowercase().contains("chunked"));
@@ -239,7 +239,7 @@
 
     /// Whether the body of the answer is read whole.
     #[must_use]
-    pub fn is_done(&self) -> bool {
+    pub fn is_body_complete(&self) -> bool {
         self.framing == Framing::Done
     }
 
@@ -252,7 +252,7 @@
             if let Some(piece) = self.step()? {
                 return Ok(Some(piece));
             }
-            if self.is_done() {
+            if self.is_body_complete() {
                 return Ok(None);
             }
             if self.fill().await? == 0 {
@@ -337,7 +337,7 @@
     ///
     /// # Errors
     /// As [`Connection::next_piece`]; [`Error::Malformed`] when the body is longer.
-    pub async fn rest(&mut self, max_bytes: usize) -> Result<Bytes, Error> {
+    pub async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next_piece().await? {
             if body.len() + piece.len() > max_bytes {
@@ -350,6 +350,6 @@
 }
 
 /// The `timeout` of a `Keep-Alive` header.
-fn idle_s(value: &str) -> Option<u64> {
+fn keep_alive_s(value: &str) -> Option<u64> {
     value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -48,8 +48,9 @@
         if !connection.is_reusable() {
             return;
         }
-        let told_ms =
-            connection.idle_s().map(|idle_s| (idle_s as f64 * 1_000.0 * IDLE_PART) as u64);
+        let told_ms = connection
+            .keep_alive_s()
+            .map(|keep_alive_s| (keep_alive_s as f64 * 1_000.0 * IDLE_PART) as u64);
         let until_ms = now_ms + told_ms.unwrap_or(IDLE_MS);
         let idle = self.idle.entry(addr).or_default();
         if idle.len() < MAX_IDLE {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -292,7 +292,7 @@
     ) -> Result<Option<(http1::Head, bytes::Bytes)>, error::Refusal> {
         self.count(job, response.sent_ms);
         let left = Duration::from_millis(job.left_ms(self.now_ms()));
-        let read = time::timeout(left, response.connection.rest(MAX_WHOLE_BYTES)).await;
+        let read = time::timeout(left, response.connection.read_body(MAX_WHOLE_BYTES)).await;
         let now_ms = self.now_ms();
         let took_ms = now_ms - response.sent_ms;
         let is_failure = response.head.status >= 500;
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -84,7 +84,7 @@
 pub struct Engine {
     /// Requests in one batch.
     pub slots: u32,
-    /// Tokens that running requests and cached prompt data share.
+    /// Tokens that running requests and cached prompt parts share.
     pub kv_cache_tokens: u64,
 }
 
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -43,7 +43,7 @@
 
 async fn exchange(connection: &mut Connection) -> Result<(u16, Vec<u8>), Error> {
     let head = connection.exchange(REQUEST).await?;
-    let body = connection.rest(1 << 20).await?;
+    let body = connection.read_body(1 << 20).await?;
     Ok((head.status, body.to_vec()))
 }
 
@@ -119,7 +119,7 @@
             Connection::open(endpoint(vec![good, last]), LIMIT).await.expect("open");
         exchange(&mut connection).await.expect("whole");
         assert!(connection.is_reusable());
-        assert_eq!(connection.idle_s(), Some(7));
+        assert_eq!(connection.keep_alive_s(), Some(7));
         exchange(&mut connection).await.expect("whole");
         assert!(!connection.is_reusable());
     });
