--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,15 +17,15 @@
 
 /// A prompt with so many tokens to read is told to the other entries at once: an engine reads for 40 ms
 /// or more, and a short prompt sent behind it by an entry that does not know it is late.
-const NEWS_TOKENS: u32 = 2_000;
+const ANNOUNCE_TOKENS: u32 = 2_000;
 /// What is sent to an engine whose slots are taken to this part is told at once as well: the others
 /// would take the same last slots.
-const NEWS_FILLED_PART: f64 = 0.75;
+const ANNOUNCE_FILL_RATIO: f64 = 0.75;
 
 /// Whether the other entries have to know of a send at once.
-fn is_news(choice: &choose::Choice<'_>) -> bool {
+fn must_announce(choice: &choose::Choice<'_>) -> bool {
     let filled_part = f64::from(choice.work.requests) / f64::from(choice.endpoint.slots.max(1));
-    choice.unread_tokens >= NEWS_TOKENS || filled_part >= NEWS_FILLED_PART
+    choice.unread_tokens >= ANNOUNCE_TOKENS || filled_part >= ANNOUNCE_FILL_RATIO
 }
 
 /// Keeps an endpoint's share of the load book for as long as a request is under way there.
@@ -121,23 +121,23 @@
     ) -> Result<OpenResponse, Failure> {
         let load_guard = LoadGuard::open(self, choice);
         let endpoint = choice.endpoint.clone();
-        let mut connection = self.connection(job, &endpoint).await?;
+        let mut connection = self.connect_or_reuse(job, &endpoint).await?;
         let now_ms = self.now_ms();
-        if !self.takes_one_more(&endpoint, now_ms) {
-            self.pool.borrow_mut().give(endpoint.addr, connection, now_ms);
+        if !self.is_still_eligible(&endpoint, now_ms) {
+            self.pool.borrow_mut().put(endpoint.addr, connection, now_ms);
             return Err(Failure::NoLongerEligible);
         }
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().note(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
             self.shared.homes().place(endpoint.key, &prompt.parts, now_ms);
-            if is_news(choice) {
+            if must_announce(choice) {
                 self.shared.news.notify_one();
             }
         }
         let bytes = self.protocol.encode(&job.endpoint_request(&endpoint.id, now_ms));
         let answered = {
-            let head = self.matching_head(&mut connection, &bytes, job);
+            let head = self.exchange_matching(&mut connection, &bytes, job);
             tokio::pin!(head);
             let mut limit_ms = timeout.silent_ms.min(timeout.max_ms);
             loop {
@@ -156,19 +156,19 @@
                 if info.is_other_endpoint {
                     return Err(Failure::WrongEndpoint);
                 }
-                self.heard(&endpoint, &info, now_ms);
+                self.record_response(&endpoint, &info, now_ms);
                 if info.not_run {
                     let failure = Failure::NotRun {
                         status: head.status,
                         retry_after_ms: info.retry_after_ms,
                     };
-                    self.keep_when_read(&endpoint, connection).await;
+                    self.recycle(&endpoint, connection).await;
                     return Err(failure);
                 }
                 Ok(OpenResponse { endpoint, connection, head, info, load_guard, sent_ms: now_ms })
             }
             Err(error) => {
-                self.unreachable(&endpoint);
+                self.mark_unreachable(&endpoint);
                 Err(Failure::Unknown(error))
             }
         }
@@ -177,7 +177,7 @@
     /// An idle connection, or a new one where the request may run only once and the endpoint has not
     /// been heard of just now: one that is dead is then found before the request is sent, and another
     /// can take it.
-    async fn connection(
+    async fn connect_or_reuse(
         &self,
         job: &job::Job,
         endpoint: &directory::Endpoint,
@@ -190,16 +190,16 @@
             }
         }
         pool::connect(endpoint.addr).await.map_err(|error| {
-            self.unreachable(endpoint);
+            self.mark_unreachable(endpoint);
             self.cold_sends.borrow_mut().refused(endpoint.key, self.now_ms());
             Failure::NotSent(error)
         })
     }
 
     /// Whether a chosen endpoint still takes a request, now that a connection is there.
-    fn takes_one_more(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
+    fn is_still_eligible(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let snapshot = self.shared.snapshot.load();
-        snapshot.takes(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).takes(endpoint)
+        snapshot.takes(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).allows(endpoint)
     }
 
     /// Notes a send to an endpoint that is, or may turn, cold.
@@ -210,7 +210,7 @@
     }
 
     /// The head that answers this request; what answers another is skipped.
-    async fn matching_head(
+    async fn exchange_matching(
         &self,
         connection: &mut http1::Connection,
         bytes: &[u8],
@@ -240,7 +240,12 @@
     }
 
     /// Takes what the head of an answer says of the endpoint, to a request that was sent at `sent_ms`.
-    fn heard(&self, endpoint: &directory::Endpoint, info: &request::ResponseInfo, sent_ms: u64) {
+    fn record_response(
+        &self,
+        endpoint: &directory::Endpoint,
+        info: &request::ResponseInfo,
+        sent_ms: u64,
+    ) {
         let now_ms = self.now_ms();
         self.health.borrow_mut().heard(endpoint.key, now_ms);
         if let Some(load) = info.load {
@@ -264,27 +269,23 @@
         }
     }
 
-    pub(super) fn unreachable(&self, endpoint: &directory::Endpoint) {
-        self.pool.borrow_mut().forget(endpoint.addr);
+    pub(super) fn mark_unreachable(&self, endpoint: &directory::Endpoint) {
+        self.pool.borrow_mut().close_idle(endpoint.addr);
         self.health.borrow_mut().unreachable(endpoint.key, self.now_ms());
     }
 
     /// Another endpoint answered at this one's address.
-    pub(super) fn misdirected(&self, endpoint: &directory::Endpoint) {
-        self.pool.borrow_mut().forget(endpoint.addr);
+    pub(super) fn mark_misdirected(&self, endpoint: &directory::Endpoint) {
+        self.pool.borrow_mut().close_idle(endpoint.addr);
         self.health.borrow_mut().misdirected(endpoint.key, self.now_ms());
     }
 
     /// Reads the rest of a short answer, if it is there already, and keeps the connection.
-    async fn keep_when_read(
-        &self,
-        endpoint: &directory::Endpoint,
-        mut connection: http1::Connection,
-    ) {
+    async fn recycle(&self, endpoint: &directory::Endpoint, mut connection: http1::Connection) {
         /// A refusal's body comes with its head.
         const REST: Duration = Duration::from_millis(20);
         if let Ok(Ok(_)) = time::timeout(REST, connection.read_body(MAX_STRAY_BYTES)).await {
-            self.pool.borrow_mut().give(endpoint.addr, connection, self.now_ms());
+            self.pool.borrow_mut().put(endpoint.addr, connection, self.now_ms());
         }
     }
 }
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -17,7 +17,7 @@
 }
 
 impl Eligibility<'_> {
-    pub(super) fn takes(&self, endpoint: &directory::Endpoint) -> bool {
+    pub(super) fn allows(&self, endpoint: &directory::Endpoint) -> bool {
         let key = endpoint.key;
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
@@ -43,7 +43,7 @@
     }
 
     /// How long all endpoints of a request's service are still left alone, as they have asked.
-    pub(super) fn backoff_ms(&self, job: &job::Job) -> u64 {
+    pub(super) fn min_backoff_ms(&self, job: &job::Job) -> u64 {
         let now_ms = self.now_ms();
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -60,20 +60,20 @@
     response: Option<OpenResponse>,
     splitter: event_splitter::EventSplitter,
     last_event_id: Option<u64>,
-    pace: Pace,
+    timing: EventTiming,
     is_over: bool,
 }
 
 /// When a stream's events came, for the line that says how it went.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct EventTiming {
     first_ms: Option<u64>,
     last_ms: u64,
     longest_pause_ms: u64,
     events: u64,
 }
 
-impl Pace {
+impl EventTiming {
     fn event(&mut self, now_ms: u64) {
         if self.first_ms.is_none() {
             self.first_ms = Some(now_ms);
@@ -102,7 +102,7 @@
         response: Some(response),
         splitter: event_splitter::EventSplitter::default(),
         last_event_id,
-        pace: Pace::default(),
+        timing: EventTiming::default(),
         is_over: false,
     };
     let first = source.first().await;
@@ -113,7 +113,7 @@
         .response
         .as_ref()
         .map(|response| response.head.clone())
-        .ok_or_else(|| gateway.given_up(&source.job, error::Kind::EndpointFailed))?;
+        .ok_or_else(|| gateway.final_refusal(&source.job, error::Kind::EndpointFailed))?;
     let rest = stream::unfold(source, async |mut source| {
         let next = source.next().await?;
         Some((next, source))
@@ -141,12 +141,12 @@
         loop {
             match self.step().await {
                 Step::Events(bytes) => {
-                    self.learn_reading();
+                    self.learn_prefill_rate();
                     let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
                     metrics::first_event(&self.job.service().name, took_ms);
-                    self.mark_first_event();
+                    self.mark_prefill_done();
                     let now_ms = self.gateway.now_ms();
-                    self.gateway.count(&mut self.job, now_ms);
+                    self.gateway.bill(&mut self.job, now_ms);
                     return Ok(Some(bytes));
                 }
                 Step::End => {
@@ -154,14 +154,16 @@
                     return Ok(None);
                 }
                 Step::Lost(error) => {
-                    self.note_lost(&error);
+                    self.record_loss(&error);
                     if self.gateway.now_ms() >= self.job.deadline_ms {
                         return Err(self
                             .gateway
-                            .given_up(&self.job, error::Kind::DeadlineExceeded));
+                            .final_refusal(&self.job, error::Kind::DeadlineExceeded));
                     }
-                    if !self.take_up().await {
-                        return Err(self.gateway.given_up(&self.job, error::Kind::EndpointFailed));
+                    if !self.resume().await {
+                        return Err(self
+                            .gateway
+                            .final_refusal(&self.job, error::Kind::EndpointFailed));
                     }
                 }
             }
@@ -176,7 +178,7 @@
         loop {
             match self.step().await {
                 Step::Events(bytes) => {
-                    self.mark_first_event();
+                    self.mark_prefill_done();
                     return Some(Ok(bytes));
                 }
                 Step::End => {
@@ -184,8 +186,8 @@
                     return None;
                 }
                 Step::Lost(error) => {
-                    self.note_lost(&error);
-                    if self.gateway.now_ms() >= self.job.deadline_ms || !self.take_up().await {
+                    self.record_loss(&error);
+                    if self.gateway.now_ms() >= self.job.deadline_ms || !self.resume().await {
                         self.is_over = true;
                         metrics::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
@@ -224,7 +226,7 @@
                 return Step::Lost(http1::Error::Malformed);
             }
             self.last_event_id = events.last_id.or(self.last_event_id);
-            self.pace.event(self.gateway.now_ms());
+            self.timing.event(self.gateway.now_ms());
             return Step::Events(events.bytes);
         }
     }
@@ -259,14 +261,14 @@
         }
     }
 
-    fn mark_first_event(&mut self) {
+    fn mark_prefill_done(&mut self) {
         if let Some(response) = &mut self.response {
             response.load_guard.prefill_done();
         }
     }
 
     /// Learns from the first event of an answer how fast engines read.
-    fn learn_reading(&self) {
+    fn learn_prefill_rate(&self) {
         let Some(response) = &self.response else {
             return;
         };
@@ -275,7 +277,7 @@
         self.gateway.shared.learn_reading(service, response.load_guard.prefill_tokens(), took_ms);
     }
 
-    fn note_lost(&mut self, error: &http1::Error) {
+    fn record_loss(&mut self, error: &http1::Error) {
         self.job.may_have_run = true;
         let Some(response) = &self.response else {
             return;
@@ -285,7 +287,7 @@
         let took_ms = now_ms - response.sent_ms;
         gateway.health.borrow_mut().ended(endpoint.key, false, took_ms, now_ms);
         if matches!(error, http1::Error::TimedOut) && now_ms < self.job.deadline_ms {
-            gateway.unreachable(endpoint);
+            gateway.mark_unreachable(endpoint);
         }
         slog::info!(gateway.log, "stream lost"; "request" => self.job.request.id.as_str(),
             "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id,
@@ -293,13 +295,13 @@
     }
 
     /// Goes on at another endpoint behind the last event, if the route allows it.
-    async fn take_up(&mut self) -> bool {
+    async fn resume(&mut self) -> bool {
         if !self.job.kind.is_repeatable() || !self.job.has_attempt_left(self.gateway.now_ms()) {
             return false;
         }
         self.response = None;
         self.job.request.last_event_id = self.last_event_id;
-        let Ok(response) = self.gateway.run(&mut self.job).await else {
+        let Ok(response) = self.gateway.send(&mut self.job).await else {
             return false;
         };
         let is_stream = (200..300).contains(&response.head.status);
@@ -321,14 +323,14 @@
         let endpoint = &response.endpoint;
         let took_ms = now_ms - response.sent_ms;
         self.gateway.health.borrow_mut().ended(endpoint.key, true, took_ms, now_ms);
-        self.gateway.pool.borrow_mut().give(endpoint.addr, response.connection, now_ms);
+        self.gateway.pool.borrow_mut().put(endpoint.addr, response.connection, now_ms);
         self.gateway.pauses.borrow_mut().ended(
             endpoint.key,
-            self.pace.events,
-            self.pace.longest_pause_ms,
+            self.timing.events,
+            self.timing.longest_pause_ms,
             now_ms,
         );
-        if let Some(first_ms) = self.pace.first_ms {
+        if let Some(first_ms) = self.timing.first_ms {
             let prompt = self.job.request.prompt.as_ref();
             let output_tokens = prompt.map_or(0, |prompt| prompt.max_output_tokens);
             let service = &self.job.service().name;
@@ -337,7 +339,7 @@
         metrics::stream_ended(&self.job.service().name, "whole");
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
             "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id, "took_ms" => took_ms,
-            "first_ms" => self.pace.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
-            "longest_pause_ms" => self.pace.longest_pause_ms);
+            "first_ms" => self.timing.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
+            "longest_pause_ms" => self.timing.longest_pause_ms);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -61,7 +61,7 @@
 impl Gateway {
     /// Starts a traffic thread's part on the current thread.
     #[must_use]
-    pub fn open(
+    pub fn start(
         shared: Arc<shared::Shared>,
         protocol: Box<dyn request::EndpointProtocol>,
         log: slog::Logger,
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -44,7 +44,7 @@
     }
 
     /// Keeps a connection whose answer has been read whole.
-    pub fn give(&mut self, addr: SocketAddr, connection: http1::Connection, now_ms: u64) {
+    pub fn put(&mut self, addr: SocketAddr, connection: http1::Connection, now_ms: u64) {
         if !connection.is_reusable() {
             return;
         }
@@ -67,7 +67,7 @@
     }
 
     /// Closes all idle connections to an address; what silenced one may have silenced all.
-    pub fn forget(&mut self, addr: SocketAddr) {
+    pub fn close_idle(&mut self, addr: SocketAddr) {
         self.idle.remove(&addr);
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -47,7 +47,7 @@
         let (answer, service) = match self.admit(request) {
             Ok(job) => {
                 let service = job.service().name.clone();
-                (self.carry(job).await, service)
+                (self.forward(job).await, service)
             }
             Err(refusal) => {
                 metrics::refused(refusal.kind.answer().code);
@@ -127,9 +127,9 @@
     }
 
     /// Sends the request until an endpoint answers, or nothing is left to try.
-    async fn carry(self: &Rc<Self>, mut job: Job) -> Response {
+    async fn forward(self: &Rc<Self>, mut job: Job) -> Response {
         loop {
-            let response = match self.run(&mut job).await {
+            let response = match self.send(&mut job).await {
                 Ok(response) => response,
                 Err(refusal) => return Response::Refused(refusal),
             };
@@ -139,7 +139,7 @@
                     Err(refusal) => Response::Refused(refusal),
                 };
             }
-            match self.whole(&mut job, response).await {
+            match self.read_complete(&mut job, response).await {
                 Ok(Some((head, body))) => return Response::Complete { head, body },
                 Ok(None) => {}
                 Err(refusal) => return Response::Refused(refusal),
@@ -148,7 +148,7 @@
     }
 
     /// Sends the request to one endpoint after another until one begins to answer.
-    pub(super) async fn run(
+    pub(super) async fn send(
         self: &Rc<Self>,
         job: &mut Job,
     ) -> Result<OpenResponse, error::Refusal> {
@@ -157,12 +157,12 @@
         loop {
             let now_ms = self.now_ms();
             if job.left_ms(now_ms) == 0 {
-                return Err(self.given_up(job, error::Kind::DeadlineExceeded));
+                return Err(self.final_refusal(job, error::Kind::DeadlineExceeded));
             }
             let snapshot = self.shared.snapshot.load_full();
             let Some(choice) = self.choose(&snapshot, job) else {
                 if now_ms > job.arrived_ms + hold_ms {
-                    return Err(self.given_up(job, error::Kind::NoEndpoint));
+                    return Err(self.final_refusal(job, error::Kind::NoEndpoint));
                 }
                 time::sleep(LOOK_AGAIN).await;
                 continue;
@@ -179,10 +179,10 @@
             {
                 self.log_turned_away(job, &choice);
                 self.shared.turned_away().note(&job.service().name, now_ms);
-                return Err(self.given_up(job, error::Kind::TooLate));
+                return Err(self.final_refusal(job, error::Kind::TooLate));
             }
-            if job.reached_endpoint && !self.may_retry(job) {
-                return Err(self.given_up(job, error::Kind::EndpointFailed));
+            if job.reached_endpoint && !self.take_retry(job) {
+                return Err(self.final_refusal(job, error::Kind::EndpointFailed));
             }
             job.tried_endpoints.push(choice.endpoint.key);
             job.attempts += 1;
@@ -208,7 +208,7 @@
                     job.unreachable_zones.push(choice.endpoint.zone.clone());
                     unsent += 1;
                     if unsent > MAX_UNSENT {
-                        return Err(self.given_up(job, error::Kind::NoEndpoint));
+                        return Err(self.final_refusal(job, error::Kind::NoEndpoint));
                     }
                 }
                 Failure::NoLongerEligible => {
@@ -221,14 +221,14 @@
                     // It ran nowhere, so it does not count against the route's attempts.
                     job.attempts -= 1;
                     job.pending_billing = None;
-                    self.misdirected(choice.endpoint);
+                    self.mark_misdirected(choice.endpoint);
                 }
                 Failure::NotRun { .. } => job.pending_billing = None,
                 Failure::Unknown(_) => {
                     job.may_have_run = true;
                     // A stream begins with its first event, and none came.
                     if !job.kind.is_stream() {
-                        self.count(job, now_ms);
+                        self.bill(job, now_ms);
                     }
                     let took_ms = self.now_ms() - now_ms;
                     self.health.borrow_mut().ended(choice.endpoint.key, false, took_ms, now_ms);
@@ -236,7 +236,7 @@
                         let is_over = job.left_ms(self.now_ms()) == 0;
                         let over = error::Kind::DeadlineExceeded;
                         let kind = if is_over { over } else { error::Kind::LinkLost };
-                        return Err(self.given_up(job, kind));
+                        return Err(self.final_refusal(job, kind));
                     }
                 }
             }
@@ -244,7 +244,7 @@
     }
 
     /// Takes a retry out of the route's attempts and the shared budget.
-    fn may_retry(&self, job: &Job) -> bool {
+    fn take_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         let sharers = self.shared.sharers.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
@@ -257,7 +257,7 @@
         let eligibility = self.eligibility(snapshot, now_ms);
         let fresh = snapshot
             .taking(&service.name, job.evacuation_key(), now_ms)
-            .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.takes(one));
+            .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.allows(one));
         let book = self.shared.book();
         let homes = self.shared.homes();
         let health = self.health.borrow();
@@ -285,12 +285,12 @@
     }
 
     /// Reads a whole answer. `None`: the endpoint failed and another may try.
-    async fn whole(
+    async fn read_complete(
         self: &Rc<Self>,
         job: &mut Job,
         mut response: OpenResponse,
     ) -> Result<Option<(http1::Head, bytes::Bytes)>, error::Refusal> {
-        self.count(job, response.sent_ms);
+        self.bill(job, response.sent_ms);
         let left = Duration::from_millis(job.left_ms(self.now_ms()));
         let read = time::timeout(left, response.connection.read_body(MAX_WHOLE_BYTES)).await;
         let now_ms = self.now_ms();
@@ -299,7 +299,7 @@
         let body = match read {
             Err(_) => {
                 job.may_have_run = true;
-                return Err(self.given_up(job, error::Kind::DeadlineExceeded));
+                return Err(self.final_refusal(job, error::Kind::DeadlineExceeded));
             }
             Ok(Err(_)) => None,
             Ok(Ok(_)) if !response.info.is_signed => None,
@@ -315,18 +315,18 @@
         }
         match body {
             Some(body) if is_good => {
-                self.pool.borrow_mut().give(response.endpoint.addr, response.connection, now_ms);
+                self.pool.borrow_mut().put(response.endpoint.addr, response.connection, now_ms);
                 Ok(Some((response.head, body)))
             }
             Some(body) => {
-                self.pool.borrow_mut().give(response.endpoint.addr, response.connection, now_ms);
+                self.pool.borrow_mut().put(response.endpoint.addr, response.connection, now_ms);
                 if job.kind.is_repeatable() && self.can_retry(job) {
                     return Ok(None);
                 }
                 Ok(Some((response.head, body)))
             }
             None if job.kind.is_repeatable() && self.can_retry(job) => Ok(None),
-            None => Err(self.given_up(job, error::Kind::EndpointFailed)),
+            None => Err(self.final_refusal(job, error::Kind::EndpointFailed)),
         }
     }
 
@@ -342,7 +342,7 @@
     }
 
     /// Counts a request that began to run, once, for its account's bill.
-    pub(super) fn count(&self, job: &mut Job, began_ms: u64) {
+    pub(super) fn bill(&self, job: &mut Job, began_ms: u64) {
         if let Some(account) = job.account.as_deref().filter(|_| !job.is_billed) {
             self.shared.count(account, self.now_ms().saturating_sub(began_ms));
             job.is_billed = true;
@@ -351,7 +351,7 @@
     }
 
     /// The final answer of a request that is given up.
-    pub(super) fn given_up(&self, job: &Job, kind: error::Kind) -> error::Refusal {
+    pub(super) fn final_refusal(&self, job: &Job, kind: error::Kind) -> error::Refusal {
         if job.may_have_run {
             let kind = match kind {
                 error::Kind::DeadlineExceeded => kind,
@@ -367,7 +367,7 @@
             _ => error::Kind::NoEndpoint,
         };
         // Before an endpoint takes requests again the caller would come back in vain.
-        let wait_ms = wait_ms as u64 + self.backoff_ms(job);
+        let wait_ms = wait_ms as u64 + self.min_backoff_ms(job);
         error::Refusal::not_run(kind).retry_after_ms(u32::try_from(wait_ms).unwrap_or(u32::MAX))
     }
 }
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -82,7 +82,7 @@
     }
 
     /// Notes a request that could not be read, and was refused before it had a route.
-    pub fn refused_unread(&self, refusal: &error::Refusal) {
+    pub fn log_unreadable_request(&self, refusal: &error::Refusal) {
         metrics::refused(refusal.kind.answer().code);
         slog::info!(self.log, "refused unread"; "status" => refusal.kind.answer().status,
             "kind" => refusal.kind.answer().code, "detail" => refusal.detail.as_str());
