--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -117,7 +117,9 @@
     #[must_use]
     pub fn stream_timeout_ms(&self) -> u64 {
         let route = self.route();
-        STREAM_PATIENCE_MS.max(4 * u64::from(route.target_ms)).max(8 * u64::from(route.pause_ms))
+        STREAM_PATIENCE_MS
+            .max(4 * u64::from(route.latency_target_ms))
+            .max(8 * u64::from(route.gap_target_ms))
     }
 
     /// Whether one more endpoint may see the request, as far as the request itself goes.
@@ -136,7 +138,7 @@
         if !self.kind.is_repeatable() || self.attempts >= self.route().max_attempts {
             return ResponseTimeout { silent_ms: left_ms, max_ms: left_ms };
         }
-        let target_ms = u64::from(self.route().target_ms);
+        let target_ms = u64::from(self.route().latency_target_ms);
         if self.kind.is_stream() {
             let timeout_ms = self.stream_timeout_ms();
             return ResponseTimeout {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -153,7 +153,7 @@
         job: &mut Job,
     ) -> Result<OpenResponse, error::Refusal> {
         let mut unsent = 0;
-        let hold_ms = (f64::from(job.route().target_ms) * HOLD_PART) as u64;
+        let hold_ms = (f64::from(job.route().latency_target_ms) * HOLD_PART) as u64;
         loop {
             let now_ms = self.now_ms();
             if job.left_ms(now_ms) == 0 {
@@ -267,10 +267,10 @@
             homes: &homes,
             health: &health,
             pauses: &pauses,
-            pause_ms: job.route().pause_ms,
+            pause_ms: job.route().gap_target_ms,
             zone: &self.shared.settings.zone,
             now_ms,
-            target_ms: f64::from(job.route().target_ms),
+            target_ms: f64::from(job.route().latency_target_ms),
             patience_ms: job.stream_timeout_ms() as f64,
             refused_zones: &job.unreachable_zones,
             reading: &self.shared.reading(&service.name),
--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -68,9 +68,9 @@
     /// Longest time that a request is kept waiting for its whole answer.
     pub timeout_ms: u32,
     /// First event, or whole answer, is in time within this.
-    pub target_ms: u32,
+    pub latency_target_ms: u32,
     /// Longest pause between two events that is still in time; zero where there are none.
-    pub pause_ms: u32,
+    pub gap_target_ms: u32,
     /// Zero goes first.
     pub priority: u8,
     /// Endpoints that one request may be sent to.
