--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! Entries that forward requests straight to endpoints, without a side process.
+//! Entries that forward requests directly to endpoints, without a side process.
 //!
-//! For platforms on which each endpoint queues and batches by itself: the entry finds the route, the
-//! client account and the endpoint, sends the request over HTTP/1.1 and streams the answer back. A
-//! control thread follows the platform's store, exchanges state with the other entries and
-//! contends for the duties. What speaks a platform's own protocol is an adapter behind the ports
-//! [`request::EndpointProtocol`] and [`control::Platform`].
+//! They serve platforms on which each endpoint queues and batches its own requests. The entry selects
+//! the route, the client account and the endpoint, sends the request over HTTP/1.1 and streams the
+//! response back. A control thread watches the platform's store, exchanges state with the other
+//! entries and competes for the duties' leases. Platform-specific protocols are adapters that
+//! implement [`request::EndpointProtocol`] and [`control::Platform`].
 
 pub mod attempt;
 pub mod control;
@@ -41,10 +41,10 @@
 use self::policy::{backoff, budget, health, pauses, warmup};
 use crate::clock;
 
-/// How often idle connections and old knowledge are looked over.
+/// Interval at which idle connections and outdated state are removed.
 const SWEEP_MS: u64 = 500;
 
-/// One traffic thread of an entry.
+/// State of one traffic thread of an entry.
 #[derive(Debug)]
 pub struct Gateway {
     shared: Arc<shared::Shared>,
@@ -59,7 +59,7 @@
 }
 
 impl Gateway {
-    /// Starts a traffic thread's part on the current thread.
+    /// Creates the gateway of the current traffic thread and starts its periodic sweep.
     #[must_use]
     pub fn start(
         shared: Arc<shared::Shared>,
@@ -81,7 +81,7 @@
         gateway
     }
 
-    /// What this entry's threads share.
+    /// State that the threads of this entry share.
     #[must_use]
     pub fn shared(&self) -> &Arc<shared::Shared> {
         &self.shared
