--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -1,5 +1,5 @@
-//! A request that is allowed and on its way: what is known of it, how long it waits, what it may
-//! still try.
+//! State of an admitted request while it is forwarded: its route, account, deadline, time limits and
+//! the attempts made so far.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,15 +12,15 @@
 use super::request::{EndpointRequest, Rank, Request};
 use super::{metrics, route, shared};
 
-/// A first event that takes this many times as long as expected is not waited for any longer where
-/// another endpoint may try. Below, a request would lose its place in a queue for nothing.
-const SLOW_TIMES: u64 = 4;
-/// Least time left in which another send makes sense: a connection and a short answer.
-const LEAST_LEFT_MS: u64 = 40;
-/// Callers of streams leave after a gap of this, at least.
-const STREAM_PATIENCE_MS: u64 = 2_000;
+/// Multiple of the expected time to the first event after which the wait ends, if another endpoint may
+/// take the request. A smaller factor would cost requests their place in a queue for no gain.
+const SLOW_RESPONSE_FACTOR: u64 = 4;
+/// Minimum remaining time for another send: enough for a connection and a short response.
+const MIN_ATTEMPT_MS: u64 = 40;
+/// Shortest gap between events after which callers of streams disconnect.
+const MIN_STREAM_TIMEOUT_MS: u64 = 2_000;
 
-/// A request that is allowed and on its way.
+/// An admitted request that is being forwarded.
 #[derive(Debug)]
 pub struct Job {
     pub request: Request,
@@ -31,25 +31,25 @@
     pub account: Option<CompactString>,
     pub priority: u8,
     pub arrived_ms: u64,
-    /// When the caller, or the route, gives up.
+    /// When the time limit of the caller or of the route expires, whichever is earlier.
     pub deadline_ms: u64,
-    /// Endpoints that have, or may have, seen it.
+    /// Endpoints that have received the request, or may have.
     pub tried_endpoints: Vec<EndpointKey>,
-    /// Availability zones of those that could not be connected to, one for each.
+    /// Availability zones of endpoints that could not be connected to, one entry per failed connection.
     pub unreachable_zones: Vec<CompactString>,
     pub attempts: u32,
-    /// Some endpoint has seen it, even if it did not run it: each further send is a retry.
+    /// An endpoint has received the request, even if it did not run it. Each further send is a retry.
     pub reached_endpoint: bool,
-    /// Some endpoint may have run it.
+    /// An endpoint may have run the request.
     pub may_have_run: bool,
-    /// It stands on its account's bill.
+    /// The request has been counted for its account's bill.
     pub(super) is_billed: bool,
-    /// Held while a send may still turn out to have run.
+    /// Held while a send may still prove to have run, and so have to be billed.
     pub(super) pending_billing: Option<shared::Uncounted>,
     pub(super) _active: ActiveGuard,
 }
 
-/// Counts a request while it is under way.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
 pub(super) struct ActiveGuard(Arc<shared::Shared>);
 
@@ -77,13 +77,13 @@
         self.table.service(self.service)
     }
 
-    /// Where the request stands among those of all accounts and routes.
+    /// Rank of the request among those of all accounts and routes.
     #[must_use]
     pub fn rank(&self) -> Rank {
         self.table.rank(self.priority, self.route().priority)
     }
 
-    /// The request as an endpoint gets it now.
+    /// The request as it is sent to an endpoint now.
     #[must_use]
     pub fn endpoint_request<'a>(
         &'a self,
@@ -105,7 +105,8 @@
         self.deadline_ms.saturating_sub(now_ms)
     }
 
-    /// When the request stays away from a zone that is evacuated: with those that share its document.
+    /// Key that decides when the request leaves a zone under evacuation. Requests that share a document
+    /// have the same key, so they move together.
     #[must_use]
     pub fn evacuation_key(&self) -> u64 {
         let prompt = self.request.prompt.as_ref();
@@ -113,25 +114,26 @@
         document.map_or_else(|| xxh3::xxh3_64(self.request.id.as_bytes()), |part| part.id)
     }
 
-    /// How long a caller of this stream waits for its next event.
+    /// Gap between events after which a caller of this stream disconnects.
     #[must_use]
     pub fn stream_timeout_ms(&self) -> u64 {
         let route = self.route();
-        STREAM_PATIENCE_MS
+        MIN_STREAM_TIMEOUT_MS
             .max(4 * u64::from(route.latency_target_ms))
             .max(8 * u64::from(route.gap_target_ms))
     }
 
-    /// Whether one more endpoint may see the request, as far as the request itself goes.
+    /// Whether the route's attempt limit and the remaining time allow another attempt.
     #[must_use]
     pub fn has_attempt_left(&self, now_ms: u64) -> bool {
-        self.attempts < self.route().max_attempts && self.left_ms(now_ms) >= LEAST_LEFT_MS
+        self.attempts < self.route().max_attempts && self.left_ms(now_ms) >= MIN_ATTEMPT_MS
     }
 
-    /// How long to wait for the head of an answer.
+    /// How long to wait for the head of a response.
     ///
-    /// A wait ends early only where the request may run again elsewhere. A stream's endpoint may be
-    /// silent for a queue's length, so its silence counts only when it says nothing to anybody.
+    /// The wait ends before the deadline only if the request may run again at another endpoint. The
+    /// endpoint of a stream sends nothing while the request is queued, so its silence counts only if
+    /// the endpoint sends nothing on any connection.
     #[must_use]
     pub(super) fn response_timeout(&self, first_ms: f64, now_ms: u64) -> ResponseTimeout {
         let left_ms = self.left_ms(now_ms);
@@ -143,10 +145,10 @@
             let timeout_ms = self.stream_timeout_ms();
             return ResponseTimeout {
                 silent_ms: (timeout_ms * 2 / 5).min(left_ms),
-                max_ms: (timeout_ms / 2).max(first_ms as u64 * SLOW_TIMES).min(left_ms),
+                max_ms: (timeout_ms / 2).max(first_ms as u64 * SLOW_RESPONSE_FACTOR).min(left_ms),
             };
         }
-        // Half of what is left stays for the other endpoint.
+        // Half of the remaining time is kept for the other endpoint.
         let wait_ms = target_ms.min(left_ms / 2);
         ResponseTimeout { silent_ms: wait_ms, max_ms: wait_ms }
     }
