--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,5 +1,5 @@
-//! A request on its way, and what becomes of it. Intake fills it in, the relay carries it, the edge
-//! writes the answer; none of them owns it.
+//! Types of a request and its response, shared by the caller's HTTP adapter, the relay and the
+//! endpoint adapter, and the [`EndpointProtocol`] port that an endpoint adapter implements.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -8,48 +8,48 @@
 use super::{event_stream, http1};
 use crate::error;
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt that several requests may share, as in a prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PromptPart {
-    /// Digest of the part's name.
+    /// Hash of the part's name.
     pub id: u64,
     pub tokens: u32,
 }
 
-/// What an engine has to read and write.
+/// Size and parts of the prompt that an engine processes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     pub tokens: u32,
     pub max_output_tokens: u32,
-    /// In order; the last belongs to this request or its session alone.
+    /// In prompt order. The last part belongs to this request or its session only.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// The parts that other requests have too.
+    /// The parts that other requests may contain as well: all but the last.
     #[must_use]
     pub fn shared_parts(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 }
 
-/// A request as a caller sent it.
+/// A request as the caller sent it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The caller's id of this attempt.
+    /// The caller's identifier for this attempt.
     pub id: CompactString,
     pub method: CompactString,
     pub host: CompactString,
     /// Path and query, byte for byte.
     pub target: CompactString,
-    /// Headers that go on to the endpoint.
+    /// Headers that are forwarded to the endpoint.
     pub headers: Vec<http1::Header>,
     pub body: Bytes,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub deadline_ms: Option<u32>,
     pub api_key: Option<CompactString>,
     pub prompt: Option<Prompt>,
-    /// The caller has the stream up to this event.
+    /// Last event of the stream that the caller has received.
     pub last_event_id: Option<u64>,
 }
 
@@ -61,17 +61,18 @@
     }
 }
 
-/// A place in the order in which requests of a configuration go.
+/// Position of a request in the priority order of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rank {
-    /// Zero goes first.
+    /// Zero is the most urgent.
     pub position: usize,
-    /// Places that are told apart.
+    /// Number of distinct positions.
     pub levels: usize,
 }
 
 impl Rank {
-    /// The place on a scale from zero to `last`; places share a step only where there are too many.
+    /// Maps the position to the range from zero to `last`. Positions share a value only if there are more
+    /// of them than values.
     #[must_use]
     pub fn scaled(self, last: usize) -> usize {
         if self.levels <= last + 1 {
@@ -82,69 +83,69 @@
     }
 }
 
-/// A request as one endpoint gets it.
+/// A request as it is sent to one endpoint.
 #[derive(Debug)]
 pub struct EndpointRequest<'a> {
     pub request: &'a Request,
-    /// Time left for the endpoint's work.
+    /// Time left for the endpoint to respond.
     pub left_ms: u32,
-    /// The only endpoint that may run it.
+    /// The only endpoint that may run the request.
     pub endpoint_id: &'a str,
     pub account: Option<&'a str>,
-    /// Where the endpoint queues prompts by rank.
+    /// The request's rank, for endpoints that queue prompts by rank.
     pub rank: Option<Rank>,
-    /// Events that the caller has already.
+    /// Last event that the caller has received; the endpoint continues after it.
     pub last_event_id: Option<u64>,
 }
 
-/// What the head of an endpoint's answer says.
+/// Information from the head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseInfo {
-    /// The request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub request_id: Option<CompactString>,
-    /// The endpoint states that the request did not run.
+    /// The endpoint states that the request was not run.
     pub not_run: bool,
-    /// It comes from another endpoint than the one called.
+    /// The response comes from an endpoint other than the one called.
     pub is_other_endpoint: bool,
-    /// It bears the endpoint's signature.
+    /// The response carries the endpoint's signature.
     pub is_signed: bool,
     pub load: Option<ReportedLoad>,
-    /// For how long the endpoint, which has turned the request away, wants no other one from this entry.
+    /// How long the endpoint, having rejected the request, asks this entry to send no further ones.
     pub retry_after_ms: Option<u32>,
-    /// The endpoint leaves: it wants no further request.
+    /// The endpoint is leaving and accepts no further requests.
     pub is_leaving: bool,
-    /// What the endpoint takes from all entries together, while it is limited.
+    /// Rate that the endpoint accepts from all entries together, while it is limited.
     pub limit: Option<limits::Rate>,
 }
 
-/// What an endpoint says of its load.
+/// Load that an endpoint reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
     pub running: u32,
     pub waiting: u32,
 }
 
-/// How endpoints are spoken to: the port that an adapter fills.
+/// Protocol between entry and endpoint, implemented by a platform adapter.
 pub trait EndpointProtocol: std::fmt::Debug {
-    /// The request as bytes on an HTTP/1.1 connection.
+    /// Encodes a request for an HTTP/1.1 connection.
     fn encode(&self, call: &EndpointRequest<'_>) -> Vec<u8>;
-    /// Reads the head of an answer.
+    /// Extracts the protocol information from the head of a response.
     fn parse_head(&self, head: &http1::Head) -> ResponseInfo;
 }
 
-/// What a caller gets.
+/// The response to a caller.
 #[derive(Debug)]
 pub enum Response {
-    /// An endpoint's whole answer.
+    /// A complete response of an endpoint.
     Complete { head: http1::Head, body: Bytes },
-    /// An endpoint's stream.
+    /// An event stream of an endpoint.
     Stream { head: http1::Head, body: event_stream::EventStream },
-    /// The router's own answer.
+    /// A refusal by the router itself.
     Refused(error::Refusal),
 }
 
 impl Response {
-    /// What came of the request, in one word.
+    /// Outcome of the request, as a metric label value.
     #[must_use]
     pub fn outcome(&self) -> &'static str {
         match self {
