--- a/src/gateway/route.rs
+++ b/src/gateway/route.rs
@@ -1,7 +1,7 @@
-//! What the operators' configuration says about traffic: routes, services, client accounts.
+//! Traffic configuration of the operators: routes, services and client accounts.
 //!
-//! A table is one version of the configuration, decoded and checked. It is replaced whole and never
-//! changed, so a request that began under one version ends under it.
+//! A table is one decoded and validated version of the configuration. It is immutable and replaced as
+//! a whole, so a request uses the same version from start to end.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,28 +10,28 @@
 
 use super::request;
 
-/// Names a route within its table.
+/// Index of a route within its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteKey(pub u32);
 
-/// Names a service within its table.
+/// Index of a service within its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServiceKey(pub u32);
 
-/// Names a client account within its table.
+/// Index of a client account within its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AccountKey(pub u32);
 
-/// What may happen to a request more than once.
+/// Whether the requests of a route may be repeated, and whether they are answered with a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// May run any number of times.
+    /// A request may run any number of times.
     Repeatable,
-    /// Runs at most once.
+    /// A request runs at most once.
     AtMostOnce,
-    /// Answers with a series of numbered events.
+    /// The response is a stream of numbered events.
     Stream {
-        /// Another endpoint may go on after the last event that arrived.
+        /// Another endpoint may continue after the last event received.
         resumable: bool,
     },
 }
@@ -49,71 +49,71 @@
     }
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a weighted part of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     pub service: ServiceKey,
     pub weight: u32,
 }
 
-/// Requests of one host below one path.
+/// Requests to one host whose paths have a common prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     pub name: CompactString,
     pub host: CompactString,
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     pub path_prefix: CompactString,
     pub kind: Kind,
     pub weighted_services: Vec<WeightedService>,
-    /// Longest time that a request is kept waiting for its whole answer.
+    /// Maximum time from the arrival of a request to its complete response.
     pub timeout_ms: u32,
-    /// First event, or whole answer, is in time within this.
+    /// Latency target for the first event of a stream or for a complete response.
     pub latency_target_ms: u32,
-    /// Longest pause between two events that is still in time; zero where there are none.
+    /// Target for the longest gap between two events of a stream; zero if the route has none.
     pub gap_target_ms: u32,
-    /// Zero goes first.
+    /// Zero is the most urgent.
     pub priority: u8,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request is sent to.
     pub max_attempts: u32,
-    /// No key is asked for.
+    /// Requests need no API key.
     pub is_public: bool,
 }
 
-/// What is known of the engines of a service.
+/// Capacity of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// Maximum number of requests in one batch.
     pub slots: u32,
-    /// Tokens that running requests and cached prompt parts share.
+    /// Tokens that the memory shared by running requests and cached prompt parts holds.
     pub kv_cache_tokens: u64,
 }
 
-/// Endpoints that answer alike.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     pub name: CompactString,
-    /// Connections that one endpoint takes from all callers together.
+    /// Maximum number of connections that one endpoint accepts from all callers together.
     pub max_connections: u32,
     pub engine: Option<Engine>,
-    /// What an endpoint takes while it is cold; none where it takes as much as ever.
+    /// Limit of an endpoint while it is cold; `None` if a cold endpoint takes the full load.
     pub warm_up: Option<WarmUp>,
-    /// How many endpoints may be ordered; none where their number is not the router's matter.
+    /// Bounds for the number of endpoints; `None` if the router does not scale the service.
     pub scaling: Option<Scaling>,
 }
 
-/// What an endpoint of a service takes while it is cold.
+/// Limit of an endpoint while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmUp {
-    /// Requests in a second; one that gets far more crashes.
+    /// Requests per second. An endpoint that receives far more crashes.
     pub requests_per_s: f64,
 }
 
-/// How many endpoints of a service may run in each availability zone.
+/// Bounds for the number of endpoints of a service in each availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scaling {
     pub min: u32,
     pub max: u32,
-    /// From an order until a new endpoint serves.
+    /// Time from the order of a new endpoint until it serves requests.
     pub startup_ms: u64,
 }
 
@@ -122,11 +122,11 @@
 pub struct Account {
     pub name: CompactString,
     pub keys: Vec<CompactString>,
-    /// Goes before the route's priority.
+    /// Overrides the route's priority.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send.
+/// Limits on requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     pub max_body_bytes: usize,
@@ -138,18 +138,18 @@
     data: TableData,
     by_host: HashMap<CompactString, Vec<RouteKey>>,
     by_key: HashMap<CompactString, AccountKey>,
-    /// Priorities of requests with those of their routes, all that can occur, in order.
+    /// All possible pairs of request priority and route priority, in order.
     ranks: Vec<(u8, u8)>,
 }
 
-/// What a table is built from.
+/// The serialized content from which a table is built.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TableData {
-    /// Grows with each change that the operators make.
+    /// Increases with each change by the operators.
     pub version: u64,
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
-    /// Empty: requests need no key.
+    /// If empty, requests need no API key.
     pub accounts: Vec<Account>,
     pub limits: Option<Limits>,
 }
@@ -178,7 +178,8 @@
     }
 }
 
-/// An account's priority goes before the route's, which decides between requests of equal accounts.
+/// Sorts all possible priorities. The account's priority comes first; the route's priority orders
+/// requests whose accounts have the same priority.
 fn ranks(data: &TableData) -> Vec<(u8, u8)> {
     let accounts: BTreeSet<Option<u8>> = data.accounts.iter().map(|one| one.priority).collect();
     let own = |account: Option<u8>, route: &Route| account.unwrap_or(route.priority);
@@ -199,13 +200,13 @@
         self.data.version
     }
 
-    /// What the table was built from.
+    /// The serialized content from which the table was built.
     #[must_use]
     pub fn data(&self) -> &TableData {
         &self.data
     }
 
-    /// The route with the longest prefix of the path at this host.
+    /// Finds the route of this host with the longest prefix that matches the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
@@ -228,35 +229,36 @@
         &self.data.services
     }
 
-    /// Whether requests need the key of a client account.
+    /// Whether requests need the API key of a client account.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.data.accounts.is_empty()
     }
 
-    /// The account that holds this key.
+    /// The account that this API key belongs to.
     #[must_use]
     pub fn account_for_key(&self, key: &str) -> Option<&Account> {
         self.by_key.get(key).map(|account| &self.data.accounts[account.0 as usize])
     }
 
-    /// Longest body that is taken, in bytes.
+    /// Maximum size of a request body in bytes.
     #[must_use]
     pub fn max_body_bytes(&self) -> usize {
         self.data.limits.map_or(usize::MAX, |limits| limits.max_body_bytes)
     }
 
-    /// Where a request of this priority stands, on a route of that priority.
+    /// Rank of a request with this priority on a route with this priority.
     ///
-    /// Engines take memory from the newest of the least urgent. Were all requests of an account alike
-    /// to them, its short urgent ones would stop in the middle of an answer while its long ones go on.
+    /// The route's priority separates the requests of one account. Engines that run out of memory
+    /// preempt the newest of the least urgent requests. If all requests of an account had the same rank,
+    /// its short urgent ones would stop in the middle of a response while its long ones continue.
     #[must_use]
     pub fn rank(&self, priority: u8, route_priority: u8) -> request::Rank {
         let position = self.ranks.partition_point(|rank| *rank < (priority, route_priority));
         request::Rank { position, levels: self.ranks.len().max(position + 1) }
     }
 
-    /// The service for one request of a route, drawn by weight with `draw` from 0 to 1.
+    /// Picks the service for a request of a route by weight; `draw` is a random number from 0 to 1.
     #[must_use]
     pub fn draw_service(&self, route: &Route, draw: f64) -> Option<ServiceKey> {
         let total: u64 = route.weighted_services.iter().map(|one| u64::from(one.weight)).sum();
