--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint, up to the head of its answer.
+//! One attempt: sends a request to one endpoint and reads the head of the response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 use super::policy::{choose, health, load};
 use super::{Gateway, departures, directory, http1, job, pool, request, request_log};
 
-/// Answers to other requests that are skipped before the awaited one; endpoints have been seen to
-/// send one too many.
-const MAX_STRAY_ANSWERS: usize = 4;
-/// Longest stray answer that is read to get past it, in bytes.
+/// Maximum number of responses to other requests that are skipped before the expected one. Endpoints
+/// have been observed to send one response too many.
+const MAX_STRAY_RESPONSES: usize = 4;
+/// Maximum size of a stray response body that is read to skip it, in bytes.
 const MAX_STRAY_BYTES: usize = 1 << 20;
 
-/// A prompt with so many tokens to read is told to the other entries at once: an engine reads for 40 ms
-/// or more, and a short prompt sent behind it by an entry that does not know it is late.
+/// Uncached prompt tokens from which a send is announced to the other entries at once. The engine
+/// spends 40 ms or more on the prefill, and a short prompt that an entry unaware of it sends to the same
+/// engine misses its latency target.
 const ANNOUNCE_TOKENS: u32 = 2_000;
-/// What is sent to an engine whose slots are taken to this part is told at once as well: the others
-/// would take the same last slots.
+/// Fraction of an engine's slots in use from which a send is announced at once as well. Otherwise the
+/// other entries would send to the same last slots.
 const ANNOUNCE_FILL_RATIO: f64 = 0.75;
 
-/// Whether the other entries have to know of a send at once.
+/// Whether a send has to be announced to the other entries at once.
 fn must_announce(choice: &choose::Choice<'_>) -> bool {
-    let filled_part = f64::from(choice.work.requests) / f64::from(choice.endpoint.slots.max(1));
-    choice.unread_tokens >= ANNOUNCE_TOKENS || filled_part >= ANNOUNCE_FILL_RATIO
+    let fill_ratio = f64::from(choice.work.requests) / f64::from(choice.endpoint.slots.max(1));
+    choice.unread_tokens >= ANNOUNCE_TOKENS || fill_ratio >= ANNOUNCE_FILL_RATIO
 }
 
-/// Keeps an endpoint's share of the load book for as long as a request is under way there.
+/// Keeps a request's work in the load table of its endpoint until the request ends.
 #[derive(Debug)]
 pub struct LoadGuard {
     gateway: Rc<Gateway>,
     endpoint: EndpointKey,
     work: load::Work,
-    /// Tokens that are read before the first event, with those of others ahead.
+    /// Prompt tokens to be read before the first event, including those of requests ahead in the queue.
     prefill_tokens: u64,
 }
 
@@ -46,13 +47,13 @@
         Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, prefill_tokens }
     }
 
-    /// Tokens that were to be read before the first event when the request was sent.
+    /// Prompt tokens to be read before the first event, as of the time of the send.
     #[must_use]
     pub fn prefill_tokens(&self) -> u64 {
         self.prefill_tokens
     }
 
-    /// The prompt has been read: the first event is there.
+    /// Removes the prompt's tokens from the load table once the first event has arrived.
     pub fn prefill_done(&mut self) {
         let read = load::Work { requests: 0, unread_tokens: self.work.unread_tokens };
         self.gateway.shared.book().remove(self.endpoint, read);
@@ -66,7 +67,7 @@
     }
 }
 
-/// A request under way at an endpoint, with the head of its answer read.
+/// A response whose head has been read and whose body is still to be read.
 #[derive(Debug)]
 pub struct OpenResponse {
     pub endpoint: directory::Endpoint,
@@ -77,23 +78,23 @@
     pub sent_ms: u64,
 }
 
-/// Why a send came to nothing.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// No connection: the endpoint has not seen it.
+    /// No connection was established, so the endpoint has not received the request.
     NotSent(http1::Error),
-    /// The endpoint states that it did not run it. With the time to wait, if it told one.
+    /// The endpoint states that it did not run the request. Includes the time to wait, if it sent one.
     NotRun { status: u16, retry_after_ms: Option<u32> },
-    /// Another endpoint has the address now.
+    /// The address now belongs to another endpoint.
     WrongEndpoint,
-    /// The endpoint takes nothing more since it was chosen; nothing was sent.
+    /// The endpoint stopped accepting requests after it was chosen. Nothing was sent.
     NoLongerEligible,
-    /// It may have run.
+    /// The request may have run.
     Unknown(http1::Error),
 }
 
 impl Failure {
-    /// Whether some endpoint has seen the request, so that another send repeats it there.
+    /// Whether an endpoint has received the request, so that another send is a retry.
     #[must_use]
     pub fn reached_endpoint(&self) -> bool {
         match self {
@@ -103,16 +104,16 @@
     }
 }
 
-/// How long to wait for the head of an answer.
+/// Limits of the wait for the head of a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseTimeout {
-    /// Past this the endpoint must have been heard of lately, on any connection.
+    /// After this time the wait continues only if the endpoint has sent data recently, on any connection.
     pub silent_ms: u64,
     pub max_ms: u64,
 }
 
 impl Gateway {
-    /// Sends a request to the chosen endpoint and waits for the head of its answer.
+    /// Sends a request to the chosen endpoint and waits for the head of the response.
     pub(super) async fn attempt(
         self: &Rc<Self>,
         job: &job::Job,
@@ -136,14 +137,14 @@
             }
         }
         let bytes = self.protocol.encode(&job.endpoint_request(&endpoint.id, now_ms));
-        let answered = {
+        let result = {
             let head = self.exchange_matching(&mut connection, &bytes, job);
             tokio::pin!(head);
             let mut limit_ms = timeout.silent_ms.min(timeout.max_ms);
             loop {
                 let left_ms = (now_ms + limit_ms).saturating_sub(self.now_ms());
                 match time::timeout(Duration::from_millis(left_ms), &mut head).await {
-                    Ok(answered) => break answered,
+                    Ok(result) => break result,
                     Err(_) if limit_ms < timeout.max_ms && self.is_alive(endpoint.key, now_ms) => {
                         limit_ms = (limit_ms + health::ALIVE_MS).min(timeout.max_ms);
                     }
@@ -151,7 +152,7 @@
                 }
             }
         };
-        match answered {
+        match result {
             Ok((head, info)) => {
                 if info.is_other_endpoint {
                     return Err(Failure::WrongEndpoint);
@@ -174,9 +175,9 @@
         }
     }
 
-    /// An idle connection, or a new one where the request may run only once and the endpoint has not
-    /// been heard of just now: one that is dead is then found before the request is sent, and another
-    /// can take it.
+    /// Reuses an idle connection or opens a new one. A request that may run only once gets a new one
+    /// unless the endpoint has sent data recently. A dead endpoint is then detected before the request
+    /// is sent, and the request can go to another.
     async fn connect_or_reuse(
         &self,
         job: &job::Job,
@@ -196,20 +197,20 @@
         })
     }
 
-    /// Whether a chosen endpoint still takes a request, now that a connection is there.
+    /// Whether the chosen endpoint still accepts a request, checked again after connecting.
     fn is_still_eligible(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let snapshot = self.shared.snapshot.load();
         snapshot.takes(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).allows(endpoint)
     }
 
-    /// Notes a send to an endpoint that is, or may turn, cold.
+    /// Records a send to an endpoint that is cold or may become cold.
     fn note_cold_send(&self, job: &job::Job, endpoint: &directory::Endpoint, now_ms: u64) {
         if job.service().warm_up.is_some() {
             self.cold_sends.borrow_mut().note(endpoint.key, now_ms);
         }
     }
 
-    /// The head that answers this request; what answers another is skipped.
+    /// Sends the request and reads the head of its response, skipping responses to other requests.
     async fn exchange_matching(
         &self,
         connection: &mut http1::Connection,
@@ -217,7 +218,7 @@
         job: &job::Job,
     ) -> Result<(http1::Head, request::ResponseInfo), http1::Error> {
         let mut head = connection.exchange(bytes).await?;
-        for _ in 0..MAX_STRAY_ANSWERS {
+        for _ in 0..MAX_STRAY_RESPONSES {
             let info = self.protocol.parse_head(&head);
             if info.is_other_endpoint || info.request_id.as_ref() == Some(&job.request.id) {
                 return Ok((head, info));
@@ -233,13 +234,13 @@
         Err(http1::Error::Malformed)
     }
 
-    /// Whether bytes of any answer came from the endpoint just now, after the send.
+    /// Whether the endpoint has sent any response data recently and after `sent_ms`.
     pub(super) fn is_alive(&self, endpoint: EndpointKey, sent_ms: u64) -> bool {
         let health = self.health.borrow();
         health.heard_ms(endpoint) > sent_ms && health.is_alive(endpoint, self.now_ms())
     }
 
-    /// Takes what the head of an answer says of the endpoint, to a request that was sent at `sent_ms`.
+    /// Records what the head of a response says about its endpoint. The request was sent at `sent_ms`.
     fn record_response(
         &self,
         endpoint: &directory::Endpoint,
@@ -264,25 +265,26 @@
         let change = limits.answered(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
-            // The other entries send at their usual rate until they know.
+            // Without the announcement the other entries would go on at their previous rate.
             self.shared.news.notify_one();
         }
     }
 
+    /// Records that the endpoint is unreachable and closes its idle connections.
     pub(super) fn mark_unreachable(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().close_idle(endpoint.addr);
         self.health.borrow_mut().unreachable(endpoint.key, self.now_ms());
     }
 
-    /// Another endpoint answered at this one's address.
+    /// Records that another endpoint responded at this endpoint's address.
     pub(super) fn mark_misdirected(&self, endpoint: &directory::Endpoint) {
         self.pool.borrow_mut().close_idle(endpoint.addr);
         self.health.borrow_mut().misdirected(endpoint.key, self.now_ms());
     }
 
-    /// Reads the rest of a short answer, if it is there already, and keeps the connection.
+    /// Reads the rest of a short response if it arrives at once, and returns the connection to the pool.
     async fn recycle(&self, endpoint: &directory::Endpoint, mut connection: http1::Connection) {
-        /// A refusal's body comes with its head.
+        /// Time to wait for the rest. The body of a refusal arrives together with its head.
         const REST: Duration = Duration::from_millis(20);
         if let Ok(Ok(_)) = time::timeout(REST, connection.read_body(MAX_STRAY_BYTES)).await {
             self.pool.borrow_mut().put(endpoint.addr, connection, self.now_ms());
