--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,7 +1,9 @@
-//! A request's way: route, client account, endpoint, answer.
+//! Forwarding of a request: finds the route and the client account, chooses an endpoint and relays the
+//! response.
 //!
-//! What may run more than once goes on to another endpoint when the first fails, within the route's
-//! attempts and the retry budget; what may run once is sent once, and its outcome is told as it is.
+//! A request that may run more than once is retried at another endpoint when the first fails, within
+//! the route's attempt limit and the retry budget. A request that may run only once is sent once, and
+//! its outcome is reported to the caller as it is.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -18,27 +20,27 @@
 use super::{Gateway, event_stream, http1, metrics, request_log, shared};
 use crate::error;
 
-/// Longest answer that is gathered before it is sent, in bytes.
-const MAX_WHOLE_BYTES: usize = 8 << 20;
-/// Sends that no endpoint has seen, before a request is given up: more than it takes to leave two lost
+/// Maximum size of a response body that is buffered before it is sent to the caller, in bytes.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+/// Maximum number of failed connects per request. It is more than it takes to move away from two failed
 /// zones.
 const MAX_UNSENT: u32 = 6;
-/// Pause before endpoints are looked for again when there is none.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
-/// Part of the latency target for which a request is held while there is no endpoint: below an
-/// eighth, so that the caller can still be in time elsewhere.
-const HOLD_PART: f64 = 0.12;
-/// When a caller of the most urgent rank comes back after a refusal; each later rank waits as much
-/// longer. A queue of a second drains in three of these.
-const COME_BACK_RANK_MS: f64 = 300.0;
-/// When a caller of an entry that has just started and knows no configuration comes back.
-const STARTING_MS: std::ops::Range<u32> = 600..1_800;
-/// When a caller that was sent away by a stopping entry comes back: at once, since it then reaches
-/// another.
-const COME_BACK_MS: u32 = 50;
+/// Interval at which an eligible endpoint is looked for again if there is none.
+const NO_ENDPOINT_POLL: Duration = Duration::from_millis(25);
+/// Fraction of the latency target for which a request waits for an eligible endpoint. It is below an
+/// eighth, so that the caller can still meet the target elsewhere.
+const HOLD_RATIO: f64 = 0.12;
+/// Retry delay after a refusal for callers of the most urgent priority. Each lower priority adds the
+/// same amount. A queue of one second drains within three of these delays.
+const RETRY_AFTER_STEP_MS: f64 = 300.0;
+/// Retry delay for callers of an entry that has just started and has no configuration yet.
+const STARTING_RETRY_MS: std::ops::Range<u32> = 600..1_800;
+/// Retry delay for callers refused by a stopping entry. It is short, since the next attempt reaches
+/// another entry.
+const DRAINING_RETRY_MS: u32 = 50;
 
 impl Gateway {
-    /// Serves a request of a caller.
+    /// Serves a request of a caller and logs its outcome.
     pub async fn serve(self: &Rc<Self>, request: Request) -> Response {
         let id = request.id.clone();
         let begin_ms = self.now_ms();
@@ -63,17 +65,17 @@
         answer
     }
 
-    /// Finds route and account, or says why not.
+    /// Admits a request: finds its route, account and service, or returns the refusal.
     fn admit(&self, request: Request) -> Result<Job, error::Refusal> {
         let refuse = error::Refusal::not_run;
         let arrived_ms = self.now_ms();
         self.shared.last_request_ms.store(arrived_ms, Ordering::Release);
         if self.shared.is_closed() {
-            return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
+            return Err(refuse(error::Kind::Draining).retry_after_ms(DRAINING_RETRY_MS));
         }
         let snapshot = self.shared.snapshot.load();
         let table = snapshot.table.clone().ok_or_else(|| {
-            let wait_ms = rand::rng().random_range(STARTING_MS);
+            let wait_ms = rand::rng().random_range(STARTING_RETRY_MS);
             refuse(error::Kind::NotReady).retry_after_ms(wait_ms)
         })?;
         let key = table
@@ -97,7 +99,7 @@
                 request.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
             let run_ms = self.shared.reading(&table.service(service).name).run_ms(output_tokens);
             if self.shared.delays_stop(run_ms) {
-                return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
+                return Err(refuse(error::Kind::Draining).retry_after_ms(DRAINING_RETRY_MS));
             }
         }
         let wait_ms = request.deadline_ms.unwrap_or(u32::MAX).min(route.timeout_ms);
@@ -126,7 +128,7 @@
         })
     }
 
-    /// Sends the request until an endpoint answers, or nothing is left to try.
+    /// Sends the request until an endpoint responds or no attempt is left.
     async fn forward(self: &Rc<Self>, mut job: Job) -> Response {
         loop {
             let response = match self.send(&mut job).await {
@@ -147,13 +149,13 @@
         }
     }
 
-    /// Sends the request to one endpoint after another until one begins to answer.
+    /// Sends the request to one endpoint after another until one starts to respond.
     pub(super) async fn send(
         self: &Rc<Self>,
         job: &mut Job,
     ) -> Result<OpenResponse, error::Refusal> {
         let mut unsent = 0;
-        let hold_ms = (f64::from(job.route().latency_target_ms) * HOLD_PART) as u64;
+        let hold_ms = (f64::from(job.route().latency_target_ms) * HOLD_RATIO) as u64;
         loop {
             let now_ms = self.now_ms();
             if job.left_ms(now_ms) == 0 {
@@ -164,7 +166,7 @@
                 if now_ms > job.arrived_ms + hold_ms {
                     return Err(self.final_refusal(job, error::Kind::NoEndpoint));
                 }
-                time::sleep(LOOK_AGAIN).await;
+                time::sleep(NO_ENDPOINT_POLL).await;
                 continue;
             };
             let is_first = !job.reached_endpoint && unsent == 0;
@@ -212,13 +214,14 @@
                     }
                 }
                 Failure::NoLongerEligible => {
-                    // It may take this request later, once it is warm or taken back.
+                    // The endpoint may take this request later, once it has warmed up or its zone is back in
+                    // service.
                     job.tried_endpoints.pop();
                     job.pending_billing = None;
                     job.attempts -= 1;
                 }
                 Failure::WrongEndpoint => {
-                    // It ran nowhere, so it does not count against the route's attempts.
+                    // The request did not run, so it does not count against the route's attempts.
                     job.attempts -= 1;
                     job.pending_billing = None;
                     self.mark_misdirected(choice.endpoint);
@@ -226,7 +229,7 @@
                 Failure::NotRun { .. } => job.pending_billing = None,
                 Failure::Unknown(_) => {
                     job.may_have_run = true;
-                    // A stream begins with its first event, and none came.
+                    // A stream is billed from its first event on, and none has arrived.
                     if !job.kind.is_stream() {
                         self.bill(job, now_ms);
                     }
@@ -243,7 +246,7 @@
         }
     }
 
-    /// Takes a retry out of the route's attempts and the shared budget.
+    /// Whether a retry is allowed; takes it from the shared retry budget.
     fn take_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         let sharers = self.shared.sharers.load(Ordering::Relaxed);
@@ -284,7 +287,7 @@
         )
     }
 
-    /// Reads a whole answer. `None`: the endpoint failed and another may try.
+    /// Reads a complete response. `None` means that the endpoint failed and the request is to be retried.
     async fn read_complete(
         self: &Rc<Self>,
         job: &mut Job,
@@ -292,7 +295,7 @@
     ) -> Result<Option<(http1::Head, bytes::Bytes)>, error::Refusal> {
         self.bill(job, response.sent_ms);
         let left = Duration::from_millis(job.left_ms(self.now_ms()));
-        let read = time::timeout(left, response.connection.read_body(MAX_WHOLE_BYTES)).await;
+        let read = time::timeout(left, response.connection.read_body(MAX_BUFFERED_BYTES)).await;
         let now_ms = self.now_ms();
         let took_ms = now_ms - response.sent_ms;
         let is_failure = response.head.status >= 500;
@@ -330,8 +333,8 @@
         }
     }
 
-    /// Whether there are an endpoint, an attempt and a part of the budget for one more send. Else the
-    /// failure that an endpoint gave is the caller's answer.
+    /// Whether an endpoint, an attempt and budget are left for a retry. Otherwise the caller gets the
+    /// failure that the endpoint returned.
     fn can_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
         let sharers = self.shared.sharers.load(Ordering::Relaxed);
@@ -341,7 +344,7 @@
             && self.choose(&snapshot, job).is_some()
     }
 
-    /// Counts a request that began to run, once, for its account's bill.
+    /// Counts a request that has started to run for its account's bill, at most once.
     pub(super) fn bill(&self, job: &mut Job, began_ms: u64) {
         if let Some(account) = job.account.as_deref().filter(|_| !job.is_billed) {
             self.shared.count(account, self.now_ms().saturating_sub(began_ms));
@@ -350,7 +353,7 @@
         job.pending_billing = None;
     }
 
-    /// The final answer of a request that is given up.
+    /// The refusal that ends a request without a response of an endpoint.
     pub(super) fn final_refusal(&self, job: &Job, kind: error::Kind) -> error::Refusal {
         if job.may_have_run {
             let kind = match kind {
@@ -359,14 +362,15 @@
             };
             return error::Refusal::unknown(kind);
         }
-        // It ran nowhere, so the caller may come back; in a while, spread out, the urgent first.
+        // The request did not run, so the caller may retry. Delays have jitter and grow with the priority
+        // number, so that urgent requests return first.
         let rank = f64::from(job.priority.min(4)) + 1.0;
-        let wait_ms = COME_BACK_RANK_MS * rank * rand::rng().random_range(0.5..1.5);
+        let wait_ms = RETRY_AFTER_STEP_MS * rank * rand::rng().random_range(0.5..1.5);
         let kind = match kind {
             error::Kind::TooLate => kind,
             _ => error::Kind::NoEndpoint,
         };
-        // Before an endpoint takes requests again the caller would come back in vain.
+        // While all endpoints are in backoff a retry would fail, so this time is added.
         let wait_ms = wait_ms as u64 + self.min_backoff_ms(job);
         error::Refusal::not_run(kind).retry_after_ms(u32::try_from(wait_ms).unwrap_or(u32::MAX))
     }
