--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -44,9 +44,9 @@
     pub async fn serve(self: &Rc<Self>, request: Request) -> Response {
         let id = request.id.clone();
         let begin_ms = self.now_ms();
-        let caller = request_log::DisconnectLog::wait(self, &id, begin_ms);
-        let asked = request_log::RequestedPath::of(&request);
-        let (answer, service) = match self.admit(request) {
+        let disconnect_log = request_log::DisconnectLog::start(self, &id, begin_ms);
+        let requested = request_log::RequestedPath::of(&request);
+        let (response, service) = match self.admit(request) {
             Ok(job) => {
                 let service = job.service().name.clone();
                 (self.forward(job).await, service)
@@ -56,13 +56,13 @@
                 (Response::Refused(refusal), CompactString::default())
             }
         };
-        caller.is_answered();
+        disconnect_log.mark_answered();
         let took_ms = self.now_ms() - begin_ms;
         if !service.is_empty() {
-            metrics::answered(&service, answer.outcome(), took_ms);
+            metrics::answered(&service, response.outcome(), took_ms);
         }
-        self.log_response(&id, &asked, &answer, took_ms);
-        answer
+        self.log_response(&id, &requested, &response, took_ms);
+        response
     }
 
     /// Admits a request: finds its route, account and service, or returns the refusal.
@@ -236,9 +236,9 @@
                     let took_ms = self.now_ms() - now_ms;
                     self.health.borrow_mut().ended(choice.endpoint.key, false, took_ms, now_ms);
                     if !job.kind.is_repeatable() {
-                        let is_over = job.left_ms(self.now_ms()) == 0;
-                        let over = error::Kind::DeadlineExceeded;
-                        let kind = if is_over { over } else { error::Kind::LinkLost };
+                        let is_expired = job.left_ms(self.now_ms()) == 0;
+                        let expired = error::Kind::DeadlineExceeded;
+                        let kind = if is_expired { expired } else { error::Kind::LinkLost };
                         return Err(self.final_refusal(job, kind));
                     }
                 }
@@ -258,7 +258,7 @@
         let service = job.service();
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
-        let fresh = snapshot
+        let candidates = snapshot
             .taking(&service.name, job.evacuation_key(), now_ms)
             .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.allows(one));
         let book = self.shared.book();
@@ -279,7 +279,7 @@
             reading: &self.shared.reading(&service.name),
         };
         choose::choose(
-            fresh,
+            candidates,
             service.engine.as_ref(),
             job.request.prompt.as_ref(),
             &known,
