--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -1,8 +1,8 @@
 //! One HTTP/1.1 connection to an endpoint or to the platform.
 //!
-//! A pooled client hides what matters here: whether a request has left, whether bytes that nobody
-//! asked for stand in the connection, whether an answer without a length was ended or reset. So the
-//! connection is held openly; the heads are parsed by `httparse`.
+//! A client with a built-in pool hides what matters here: whether a request has been sent, whether
+//! unexpected bytes are left in the connection, and whether a response without a length was ended or
+//! reset. This module therefore manages the connection itself; `httparse` parses the heads.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,35 +14,36 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// Longest head of an answer, in bytes; twice what servers commonly send at most.
+/// Maximum size of a response head in bytes, twice the usual limit of servers.
 const MAX_HEAD_BYTES: usize = 32 << 10;
 const MAX_HEADERS: usize = 64;
-/// Longest line with the size of a chunk.
+/// Maximum length of a chunk size line.
 const MAX_SIZE_LINE_BYTES: usize = 64;
 const READ_BYTES: usize = 4 << 10;
 
-/// What went wrong on a connection.
+/// Errors of a connection.
 #[derive(Debug, derive_more::Display)]
 pub enum Error {
-    /// No connection was made: nothing can have been sent.
+    /// The connection was not established, so nothing can have been sent.
     #[display("no connection ({_0})")]
     Connect(io::Error),
-    /// The connection broke, or ended in the middle of an answer.
+    /// The connection failed or ended in the middle of a response.
     #[display("the connection broke ({_0})")]
     Broken(io::Error),
-    /// It was closed before the first byte of an answer.
-    #[display("closed without an answer")]
+    /// The connection was closed before the first byte of a response.
+    #[display("connection closed before a response")]
     Closed,
-    /// What came is no HTTP.
-    #[display("no valid HTTP")]
+    /// The received data is not valid HTTP.
+    #[display("malformed HTTP response")]
     Malformed,
-    #[display("no answer in time")]
+    /// The response did not arrive in time.
+    #[display("response timed out")]
     TimedOut,
 }
 
 impl std::error::Error for Error {}
 
-/// A header as it came.
+/// A header as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
     pub name: CompactString,
@@ -50,14 +51,14 @@
 }
 
 impl Header {
-    /// The value as text, empty when it is none.
+    /// The value as text, empty if it is not valid UTF-8.
     #[must_use]
     pub fn text(&self) -> &str {
         std::str::from_utf8(&self.value).unwrap_or_default()
     }
 }
 
-/// Status and headers of an answer.
+/// Status and headers of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     pub status: u16,
@@ -65,14 +66,14 @@
 }
 
 impl Head {
-    /// The first header of this name.
+    /// The first header with this name.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|one| one.name.eq_ignore_ascii_case(name)).map(Header::text)
     }
 }
 
-/// How the end of a body is told.
+/// How the end of the body is determined, and how far it has been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(u64),
@@ -90,43 +91,43 @@
     stream: TcpStream,
     buffer: BytesMut,
     framing: Framing,
-    /// The peer, or the framing, ends the connection with this answer.
-    closes: bool,
-    /// Seconds for which the peer says it keeps an idle connection.
+    /// The connection closes after this response, by request of the peer or because of the framing.
+    closes_after: bool,
+    /// Seconds for which the peer keeps an idle connection open, from its `Keep-Alive` header.
     keep_alive_s: Option<u64>,
-    sent_whole: bool,
+    request_fully_sent: bool,
 }
 
 impl Connection {
-    /// Connects, within a limit.
+    /// Connects to an address within a time limit.
     ///
     /// # Errors
-    /// [`Error::Connect`], always: nothing has been sent.
+    /// Always [`Error::Connect`], since nothing has been sent.
     pub async fn open(addr: SocketAddr, limit: Duration) -> Result<Self, Error> {
         let connected = time::timeout(limit, TcpStream::connect(addr)).await;
         let stream = connected
             .map_err(|_| Error::Connect(io::ErrorKind::TimedOut.into()))?
             .map_err(Error::Connect)?;
-        // Events are small and each has to leave at once.
+        // Events are small and have to be sent without delay.
         stream.set_nodelay(true).map_err(Error::Connect)?;
         Ok(Self {
             stream,
             buffer: BytesMut::new(),
             framing: Framing::Done,
-            closes: false,
+            closes_after: false,
             keep_alive_s: None,
-            sent_whole: true,
+            request_fully_sent: true,
         })
     }
 
-    /// Whether the connection can carry one more request: nothing stands in it and it is open.
+    /// Whether the connection is open, has no unread bytes and can carry another request.
     ///
-    /// A peer that sends a second answer after the first, or has closed an idle connection, is
-    /// found here, before a request that may run only once goes out on it.
+    /// This detects a peer that has sent a second response after the first or has closed the idle
+    /// connection, before a request that may run only once is sent on it.
     #[must_use]
     pub fn is_reusable(&self) -> bool {
-        if self.closes
-            || !self.sent_whole
+        if self.closes_after
+            || !self.request_fully_sent
             || self.framing != Framing::Done
             || !self.buffer.is_empty()
         {
@@ -137,37 +138,37 @@
         matches!(read, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Seconds for which the peer keeps the connection idle, if it said so.
+    /// Seconds for which the peer keeps an idle connection open, if it stated that.
     #[must_use]
     pub fn keep_alive_s(&self) -> Option<u64> {
         self.keep_alive_s
     }
 
-    /// Sends a request and reads the head of its answer. The peer may answer before it has read
-    /// all; what is left is then not sent, and the connection carries no other request.
+    /// Sends a request and reads the head of its response. If the peer responds before it has read the
+    /// whole request, the rest is not sent and the connection is not reused.
     ///
     /// # Errors
-    /// Any kind but [`Error::Connect`]; the request may have been taken.
+    /// Any kind but [`Error::Connect`]; the peer may have received the request.
     pub async fn exchange(&mut self, request: &[u8]) -> Result<Head, Error> {
         self.send(request).await?;
         self.next_head().await
     }
 
     async fn send(&mut self, request: &[u8]) -> Result<(), Error> {
-        self.sent_whole = false;
+        self.request_fully_sent = false;
         let (read, mut write) = self.stream.split();
         tokio::select! {
             biased;
             written = write.write_all(request) => {
-                self.sent_whole = written.is_ok();
-                // A peer that closes after an early answer fails the write; the answer counts.
+                self.request_fully_sent = written.is_ok();
+                // The write fails if the peer closes after an early response; that response is still valid.
             }
             _ = read.readable() => {}
         }
         Ok(())
     }
 
-    /// Reads the head of the next answer on this connection.
+    /// Reads the head of the next response on this connection.
     ///
     /// # Errors
     /// As [`Connection::exchange`].
@@ -196,7 +197,7 @@
         let httparse::Status::Complete(length) = status else {
             return Ok(None);
         };
-        let keeps = parsed.version == Some(1);
+        let keeps_alive = parsed.version == Some(1);
         let status = parsed.code.ok_or(Error::Malformed)?;
         let headers: Vec<Header> = parsed
             .headers
@@ -205,13 +206,13 @@
             .collect();
         self.buffer.advance(length);
         let head = Head { status, headers };
-        self.begin_body(&head, keeps)?;
+        self.begin_body(&head, keeps_alive)?;
         Ok(Some(head))
     }
 
-    fn begin_body(&mut self, head: &Head, keeps: bool) -> Result<(), Error> {
+    fn begin_body(&mut self, head: &Head, keeps_alive: bool) -> Result<(), Error> {
         let connection = head.header("connection").unwrap_or_default().to_ascii_lowercase();
-        self.closes = connection.contains("close") || !keeps;
+        self.closes_after = connection.contains("close") || !keeps_alive;
         self.keep_alive_s = head.header("keep-alive").and_then(keep_alive_s);
         let is_chunked = head
             .header("transfer-encoding")
@@ -226,7 +227,7 @@
                 length => Framing::Length(length),
             }
         } else {
-            self.closes = true;
+            self.closes_after = true;
             Framing::UntilClose
         };
         Ok(())
@@ -237,16 +238,16 @@
         self.stream.read_buf(&mut self.buffer).await.map_err(Error::Broken)
     }
 
-    /// Whether the body of the answer is read whole.
+    /// Whether the body of the response has been read completely.
     #[must_use]
     pub fn is_body_complete(&self) -> bool {
         self.framing == Framing::Done
     }
 
-    /// The next piece of the body; `None` at its end. Dropping the call loses nothing.
+    /// The next piece of the body; `None` at its end. Cancel-safe: dropping the future loses no data.
     ///
     /// # Errors
-    /// When the body breaks off or is no HTTP.
+    /// If the body is truncated or is not valid HTTP.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             if let Some(piece) = self.step()? {
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Goes on with what is in the buffer.
+    /// Decodes the next piece from the buffered bytes.
     fn step(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.framing {
@@ -312,12 +313,12 @@
         }
     }
 
-    fn take(&mut self, most: u64) -> Bytes {
-        let count = self.buffer.len().min(usize::try_from(most).unwrap_or(usize::MAX));
+    fn take(&mut self, max_bytes: u64) -> Bytes {
+        let count = self.buffer.len().min(usize::try_from(max_bytes).unwrap_or(usize::MAX));
         self.buffer.split_to(count).freeze()
     }
 
-    /// One line without its end.
+    /// The next line without its line ending; `None` if it is incomplete.
     fn line(&mut self) -> Result<Option<Bytes>, Error> {
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
             if self.buffer.len() > MAX_SIZE_LINE_BYTES {
@@ -336,7 +337,7 @@
     /// Reads the rest of the body, up to a limit in bytes.
     ///
     /// # Errors
-    /// As [`Connection::next_piece`]; [`Error::Malformed`] when the body is longer.
+    /// As [`Connection::next_piece`], or [`Error::Malformed`] if the body is longer.
     pub async fn read_body(&mut self, max_bytes: usize) -> Result<Bytes, Error> {
         let mut body = BytesMut::new();
         while let Some(piece) = self.next_piece().await? {
