--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,7 +1,8 @@
-//! Idle connections to endpoints, kept for the next request.
+//! Pool of idle connections to endpoints.
 //!
-//! The newest is used first, so that a burst's connections grow old and are closed. The number kept
-//! is bounded; the number open at a time is not, beyond the requests under way.
+//! The most recently used connection is taken first, so that surplus connections of a burst expire. The
+//! number of idle connections is bounded. The number of open connections is bounded only by the number
+//! of active requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,14 +10,15 @@
 
 use super::http1;
 
-/// How long an idle connection is used where the endpoint said nothing: below the shortest time
-/// that servers commonly keep one.
+/// How long an idle connection is reused if the endpoint states no limit. It is below the shortest
+/// keep-alive time that is common among servers.
 const IDLE_MS: u64 = 4_000;
-/// Part of the time that an endpoint tells for which its connection is used.
-const IDLE_PART: f64 = 0.7;
-/// Longest time to connect: a hundred times the way between two zones.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Idle connections kept for one endpoint; as many requests as one entry sends there at a time.
+/// Fraction of the endpoint's stated keep-alive time for which an idle connection is reused.
+const KEEP_ALIVE_RATIO: f64 = 0.7;
+/// Time limit for connecting, a hundred times the latency between two zones.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of idle connections per endpoint, equal to the number of requests that one entry sends
+/// to it at the same time.
 const MAX_IDLE: usize = 32;
 
 #[derive(Debug)]
@@ -32,7 +34,7 @@
 }
 
 impl Pool {
-    /// An idle connection that is still good.
+    /// Takes an idle connection that can still be used.
     pub fn take(&mut self, addr: SocketAddr, now_ms: u64) -> Option<http1::Connection> {
         let idle = self.idle.get_mut(&addr)?;
         while let Some(one) = idle.pop() {
@@ -43,22 +45,22 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read whole.
+    /// Keeps a connection for reuse once its response has been read completely.
     pub fn put(&mut self, addr: SocketAddr, connection: http1::Connection, now_ms: u64) {
         if !connection.is_reusable() {
             return;
         }
-        let told_ms = connection
+        let stated_ms = connection
             .keep_alive_s()
-            .map(|keep_alive_s| (keep_alive_s as f64 * 1_000.0 * IDLE_PART) as u64);
-        let until_ms = now_ms + told_ms.unwrap_or(IDLE_MS);
+            .map(|keep_alive_s| (keep_alive_s as f64 * 1_000.0 * KEEP_ALIVE_RATIO) as u64);
+        let until_ms = now_ms + stated_ms.unwrap_or(IDLE_MS);
         let idle = self.idle.entry(addr).or_default();
         if idle.len() < MAX_IDLE {
             idle.push(Idle { connection, until_ms });
         }
     }
 
-    /// Closes what has been idle for too long.
+    /// Closes connections that have expired or are no longer usable.
     pub fn sweep(&mut self, now_ms: u64) {
         for idle in self.idle.values_mut() {
             idle.retain(|one| now_ms < one.until_ms && one.connection.is_reusable());
@@ -66,7 +68,7 @@
         self.idle.retain(|_, idle| !idle.is_empty());
     }
 
-    /// Closes all idle connections to an address; what silenced one may have silenced all.
+    /// Closes all idle connections to an address. A failure of one connection may have affected all.
     pub fn close_idle(&mut self, addr: SocketAddr) {
         self.idle.remove(&addr);
     }
@@ -77,5 +79,5 @@
 /// # Errors
 /// As [`http1::Connection::open`].
 pub async fn connect(addr: SocketAddr) -> Result<http1::Connection, http1::Error> {
-    http1::Connection::open(addr, CONNECT).await
+    http1::Connection::open(addr, CONNECT_TIMEOUT).await
 }
