--- a/src/gateway/event_splitter.rs
+++ b/src/gateway/event_splitter.rs
@@ -1,14 +1,14 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 //!
-//! An endpoint may break off in the middle of an event. Only whole events go to the caller, so what
-//! another endpoint goes on with joins on without a gap or a piece twice.
+//! An endpoint may fail in the middle of an event. Only complete events are forwarded to the caller, so
+//! that another endpoint can continue the stream without gaps or duplicated data.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is gathered, in bytes.
+/// Maximum size of an event in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events in a row, with the id of the last.
+/// A run of complete events with the ids of the first and the last.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Events {
     pub bytes: Bytes,
@@ -16,14 +16,14 @@
     pub last_id: Option<u64>,
 }
 
-/// Gathers pieces of a stream.
+/// Buffers pieces of a stream until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes a piece; gives the events that are now whole. `None`: an event is too long.
+    /// Adds a piece and returns the events that are now complete. `None` means that an event is too long.
     pub fn push(&mut self, piece: &[u8]) -> Option<Events> {
         self.pending.extend_from_slice(piece);
         let end = end_of_events(&self.pending);
@@ -37,14 +37,14 @@
         Some(Events { bytes, first_id, last_id })
     }
 
-    /// Whether the last event has not come whole.
+    /// Whether an incomplete event is buffered.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
 
-/// Where the last whole event ends: behind its empty line.
+/// End of the last complete event, after its empty line.
 fn end_of_events(bytes: &[u8]) -> usize {
     let mut end = 0;
     let mut line_start = 0;
