--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which endpoints may get one more request from this entry now, whatever they would cost.
+//! Decides which endpoints may receive another request from this entry now, independent of their cost.
 
 use std::cell::Ref;
 use std::sync::MutexGuard;
@@ -6,7 +6,7 @@
 use super::policy::{backoff, limits, warmup};
 use super::{Gateway, departures, directory, job, shared};
 
-/// What forbids sends to endpoints, as of one moment.
+/// All restrictions on sends to endpoints, as of one point in time.
 pub(super) struct Eligibility<'a> {
     snapshot: &'a shared::Snapshot,
     cold_sends: Ref<'a, warmup::Sends>,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// How long all endpoints of a request's service are still left alone, as they have asked.
+    /// Remaining time until the first endpoint of the request's service is out of backoff; zero if one is
+    /// not in backoff or none accepts requests.
     pub(super) fn min_backoff_ms(&self, job: &job::Job) -> u64 {
         let now_ms = self.now_ms();
         let snapshot = self.shared.snapshot.load();
