--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -37,7 +37,7 @@
     #[display("malformed HTTP response")]
     Malformed,
     /// The response did not arrive in time.
-    #[display("response timed out")]
+    #[display("no answer in time")]
     TimedOut,
 }
 
