--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -1,5 +1,5 @@
-//! The body of a streamed answer: whole events as they come, taken up at another endpoint where the
-//! route allows it.
+//! Body of a streamed response: forwards complete events as they arrive and resumes the stream at
+//! another endpoint if the route allows it.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -15,15 +15,15 @@
 use super::{Gateway, event_splitter, http1, metrics};
 use crate::error;
 
-/// A stream that ended before its end. The caller's connection has to be closed, so that the answer
-/// does not look complete.
+/// The stream ended before it was complete. The caller's connection has to be closed, so that the
+/// response does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
-#[display("the stream broke off")]
+#[display("event stream interrupted")]
 pub struct StreamInterrupted;
 
 impl std::error::Error for StreamInterrupted {}
 
-/// Whole events, as a stream of bytes.
+/// A stream of bytes that yields complete events.
 pub struct EventStream {
     events: Pin<Box<dyn Stream<Item = Result<Bytes, StreamInterrupted>>>>,
 }
@@ -42,21 +42,21 @@
     }
 }
 
-/// What came of waiting for events.
+/// Result of waiting for events.
 #[derive(Debug)]
 enum Step {
     Events(Bytes),
     End,
-    /// The endpoint broke off, or is silent.
+    /// The connection to the endpoint failed, or the endpoint stopped sending.
     Lost(http1::Error),
 }
 
-/// A stream under way.
-struct Source {
+/// An open stream with its request.
+struct EventSource {
     gateway: Rc<Gateway>,
     job: Job,
-    /// None while another endpoint is sought: the former one stops its work when its connection
-    /// closes.
+    /// `None` while the stream is moved to another endpoint: closing the connection makes the previous
+    /// endpoint stop its work.
     response: Option<OpenResponse>,
     splitter: event_splitter::EventSplitter,
     last_event_id: Option<u64>,
@@ -64,7 +64,7 @@
     is_over: bool,
 }
 
-/// When a stream's events came, for the line that says how it went.
+/// Arrival times of a stream's events, for pause statistics and the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventTiming {
     first_ms: Option<u64>,
@@ -85,18 +85,18 @@
     }
 }
 
-/// Waits for the first events of an answer, so that a stream that breaks before them still gets a
-/// status of its own.
+/// Opens a stream and waits for its first events. A stream that fails before them can thus still be
+/// answered with an error status.
 ///
 /// # Errors
-/// The final answer, when no endpoint delivers a first event.
+/// The refusal for the caller, if no endpoint delivers a first event.
 pub(super) async fn open(
     gateway: &Rc<Gateway>,
     job: Job,
     response: OpenResponse,
 ) -> Result<(http1::Head, EventStream), error::Refusal> {
     let last_event_id = job.request.last_event_id;
-    let mut source = Source {
+    let mut source = EventSource {
         gateway: Rc::clone(gateway),
         job,
         response: Some(response),
@@ -108,7 +108,7 @@
     let first = source.first().await;
     source.is_over |= first.is_err();
     let first = first?;
-    // Headers and signature are those of the endpoint whose events go out first.
+    // Headers and signature are those of the endpoint whose events are sent first.
     let head = source
         .response
         .as_ref()
@@ -123,7 +123,7 @@
     Ok((head, EventStream { events }))
 }
 
-impl Drop for Source {
+impl Drop for EventSource {
     fn drop(&mut self) {
         if self.is_over {
             return;
@@ -135,8 +135,8 @@
     }
 }
 
-impl Source {
-    /// The first events; none when the stream ended without any.
+impl EventSource {
+    /// Waits for the first events; `None` if the stream ended without any.
     async fn first(&mut self) -> Result<Option<Bytes>, error::Refusal> {
         loop {
             match self.step().await {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The next events; `None` when the stream is over.
+    /// Waits for the next events; `None` if the stream has ended.
     async fn next(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
         if self.is_over {
             return None;
@@ -199,6 +199,7 @@
         }
     }
 
+    /// Reads from the endpoint until complete events, the end of the stream or a failure.
     async fn step(&mut self) -> Step {
         loop {
             let piece = match self.piece().await {
@@ -222,7 +223,7 @@
             if let (Some(first), Some(last)) = (events.first_id, self.last_event_id)
                 && first <= last
             {
-                // Sent on, the caller would have a piece twice.
+                // Forwarding these events would send the caller data that it already has.
                 return Step::Lost(http1::Error::Malformed);
             }
             self.last_event_id = events.last_id.or(self.last_event_id);
@@ -231,7 +232,10 @@
         }
     }
 
-    /// The next piece of the endpoint's body, for as long as there is hope.
+    /// Reads the next piece of the endpoint's body.
+    ///
+    /// If the stream can move to another endpoint, the wait ends before the caller's own time limit: at
+    /// 2/5 of it if the endpoint has sent nothing on any connection, else at 4/5.
     async fn piece(&mut self) -> Result<Option<Bytes>, http1::Error> {
         let gateway = Rc::clone(&self.gateway);
         let Some(response) = self.response.as_mut() else {
@@ -240,8 +244,8 @@
         let began_ms = gateway.now_ms();
         let left_ms = self.job.left_ms(began_ms);
         let timeout_ms = self.job.stream_timeout_ms();
-        let can_move = self.job.kind.is_repeatable() && self.job.has_attempt_left(began_ms);
-        let (mut limit_ms, most_ms) = if can_move {
+        let can_resume = self.job.kind.is_repeatable() && self.job.has_attempt_left(began_ms);
+        let (mut limit_ms, max_ms) = if can_resume {
             ((timeout_ms * 2 / 5).min(left_ms), (timeout_ms * 4 / 5).min(left_ms))
         } else {
             (left_ms, left_ms)
@@ -252,22 +256,23 @@
             match time::timeout(wait, response.connection.next_piece()).await {
                 Ok(piece) => return piece,
                 Err(_)
-                    if limit_ms < most_ms && gateway.is_alive(response.endpoint.key, began_ms) =>
+                    if limit_ms < max_ms && gateway.is_alive(response.endpoint.key, began_ms) =>
                 {
-                    limit_ms = most_ms;
+                    limit_ms = max_ms;
                 }
                 Err(_) => return Err(http1::Error::TimedOut),
             }
         }
     }
 
+    /// Removes the prompt's tokens from the endpoint's load.
     fn mark_prefill_done(&mut self) {
         if let Some(response) = &mut self.response {
             response.load_guard.prefill_done();
         }
     }
 
-    /// Learns from the first event of an answer how fast engines read.
+    /// Updates the estimate of the prefill rate from the time to the first event.
     fn learn_prefill_rate(&self) {
         let Some(response) = &self.response else {
             return;
@@ -277,6 +282,7 @@
         self.gateway.shared.learn_reading(service, response.load_guard.prefill_tokens(), took_ms);
     }
 
+    /// Records that the endpoint of the stream failed.
     fn record_loss(&mut self, error: &http1::Error) {
         self.job.may_have_run = true;
         let Some(response) = &self.response else {
@@ -294,7 +300,7 @@
             "detail" => error.to_string(), "attempt" => self.job.attempts);
     }
 
-    /// Goes on at another endpoint behind the last event, if the route allows it.
+    /// Resumes the stream after the last event at another endpoint, if the route allows it.
     async fn resume(&mut self) -> bool {
         if !self.job.kind.is_repeatable() || !self.job.has_attempt_left(self.gateway.now_ms()) {
             return false;
@@ -314,6 +320,7 @@
         is_stream
     }
 
+    /// Records a completed stream and returns its connection to the pool.
     fn finish(&mut self) {
         self.is_over = true;
         let Some(response) = self.response.take() else {
