--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,14 +1,14 @@
-//! Counters and histograms of a forwarding entry. `docs/METRICS.md` lists them; the values of labels
-//! are services of the configuration and closed lists, so their number is bounded.
+//! Metrics of a forwarding entry. `docs/METRICS.md` lists them. Label values are services of the
+//! configuration or come from fixed sets, so their number is bounded.
 
 use super::shared;
 
-/// A request has begun or ended; so many are under way.
+/// Sets the number of active requests.
 pub fn active_requests(count: u32) {
     metrics::gauge!("briarwinch_active_requests").set(f64::from(count));
 }
 
-/// A request got its final answer.
+/// Records the final response to a request.
 pub fn answered(service: &str, outcome: &'static str, took_ms: u64) {
     metrics::counter!("briarwinch_gateway_answers_total",
         "service" => service.to_owned(), "outcome" => outcome)
@@ -17,46 +17,46 @@
         .record(took_ms as f64 / 1_000.0);
 }
 
-/// A request was refused before it had a service.
+/// Counts a request that was refused before it was assigned to a service.
 pub fn refused(code: &'static str) {
     metrics::counter!("briarwinch_gateway_refusals_total", "code" => code).increment(1);
 }
 
-/// A send to an endpoint came to this.
+/// Counts a send to an endpoint by its outcome.
 pub fn send_outcome(service: &str, outcome: &'static str) {
     metrics::counter!("briarwinch_gateway_sends_total",
         "service" => service.to_owned(), "outcome" => outcome)
     .increment(1);
 }
 
-/// The first event of a stream came.
+/// Records the time to the first event of a stream.
 pub fn first_event(service: &str, took_ms: u64) {
     metrics::histogram!("briarwinch_gateway_first_event_seconds", "service" => service.to_owned())
         .record(took_ms as f64 / 1_000.0);
 }
 
-/// A stream ended like this.
+/// Counts the end of a stream by its outcome.
 pub fn stream_ended(service: &str, outcome: &'static str) {
     metrics::counter!("briarwinch_gateway_streams_total",
         "service" => service.to_owned(), "outcome" => outcome)
     .increment(1);
 }
 
-/// A call to the store, by what it does and to which kind of object, was answered or not.
+/// Counts a call to the store by operation, kind of object and outcome.
 pub fn store_call(call: &'static str, kind: String, outcome: &'static str) {
     metrics::counter!("briarwinch_gateway_store_calls_total",
         "call" => call, "kind" => kind, "outcome" => outcome)
     .increment(1);
 }
 
-/// Other entries were sent a message of this kind.
+/// Counts messages of one kind sent to other entries, and their bytes.
 pub fn messages_sent(kind: &'static str, messages: u64, bytes: u64) {
     metrics::counter!("briarwinch_gateway_messages_total", "kind" => kind).increment(messages);
     metrics::counter!("briarwinch_gateway_message_bytes_total", "kind" => kind)
         .increment(messages * bytes);
 }
 
-/// What the control thread knows.
+/// Sets the gauges of the control thread's state.
 pub fn control_state(
     snapshot: &shared::Snapshot,
     limited: usize,
