--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! The log lines about a request: what was decided, by what inputs of what age, and what came of it.
+//! Log lines about requests: each decision with its inputs and their age, and the outcome.
 //! `docs/OPERATIONS.md` lists them.
 
 use std::cell::Cell;
@@ -12,7 +12,7 @@
 use super::{Gateway, directory, metrics};
 use crate::error;
 
-/// What a request asked for, for the line that says why it was refused.
+/// Host and path of a request, for the log line about its refusal.
 pub(super) struct RequestedPath {
     host: CompactString,
     path: CompactString,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Says so when the caller leaves before it is answered: its request's future is dropped then.
+/// Logs that the caller disconnected before the response, when the future of its request is dropped.
 pub(super) struct DisconnectLog<'a> {
     gateway: &'a Gateway,
     id: &'a str,
@@ -33,12 +33,12 @@
 }
 
 impl<'a> DisconnectLog<'a> {
-    pub(super) fn wait(gateway: &'a Gateway, id: &'a str, begin_ms: u64) -> Self {
+    pub(super) fn start(gateway: &'a Gateway, id: &'a str, begin_ms: u64) -> Self {
         Self { gateway, id, begin_ms, is_answered: Cell::new(false) }
     }
 
-    /// It has its answer, or the head of it.
-    pub(super) fn is_answered(&self) {
+    /// Records that the response, or at least its head, is ready.
+    pub(super) fn mark_answered(&self) {
         self.is_answered.set(true);
     }
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// An endpoint says itself that it leaves.
+/// Logs that an endpoint has announced that it is leaving.
 pub(super) fn log_endpoint_leaving(
     log: &slog::Logger,
     endpoint: &directory::Endpoint,
@@ -63,7 +63,7 @@
         "source" => source);
 }
 
-/// An endpoint has named a limit, another one, or none any more.
+/// Logs that an endpoint has set, changed or lifted its rate limit.
 pub(super) fn log_endpoint_limit(
     log: &slog::Logger,
     endpoint: &str,
@@ -76,33 +76,33 @@
 }
 
 impl Gateway {
-    /// Version of the configuration in force; zero: none.
+    /// Version of the active configuration; zero if there is none.
     fn config_version(&self) -> u64 {
         self.shared.snapshot.load().table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Notes a request that could not be read, and was refused before it had a route.
+    /// Records a request that could not be read and was refused before it had a route.
     pub fn log_unreadable_request(&self, refusal: &error::Refusal) {
         metrics::refused(refusal.kind.answer().code);
-        slog::info!(self.log, "refused unread"; "status" => refusal.kind.answer().status,
+        slog::info!(self.log, "unreadable request refused"; "status" => refusal.kind.answer().status,
             "kind" => refusal.kind.answer().code, "detail" => refusal.detail.as_str());
     }
 
-    /// The answer that a request got.
+    /// Logs the response to a request.
     pub(super) fn log_response(
         &self,
         id: &str,
-        asked: &RequestedPath,
-        answer: &Response,
+        requested: &RequestedPath,
+        response: &Response,
         took_ms: u64,
     ) {
-        match answer {
+        match response {
             Response::Refused(refusal) => {
                 slog::info!(self.log, "refused"; "request" => id, "took_ms" => took_ms,
                     "status" => refusal.kind.answer().status,
                     "kind" => refusal.kind.answer().code, "ran" => refusal.ran.to_string(),
-                    "retry_after_ms" => refusal.retry_after_ms, "host" => asked.host.as_str(),
-                    "path" => asked.path.as_str(), "version" => self.config_version(),
+                    "retry_after_ms" => refusal.retry_after_ms, "host" => requested.host.as_str(),
+                    "path" => requested.path.as_str(), "version" => self.config_version(),
                     "detail" => refusal.detail.as_str());
             }
             Response::Complete { head, .. } | Response::Stream { head, .. } => {
@@ -112,6 +112,7 @@
         }
     }
 
+    /// Logs that admission control refused a request.
     pub(super) fn log_turned_away(&self, job: &Job, choice: &choose::Choice<'_>) {
         slog::info!(self.log, "turned away"; "request" => job.request.id.as_str(),
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
@@ -120,6 +121,7 @@
             "load_age_ms" => self.shared.book().age_ms(self.now_ms()));
     }
 
+    /// Logs a send with the inputs of the choice of its endpoint.
     pub(super) fn log_choice(&self, job: &Job, choice: &choose::Choice<'_>) {
         let limit = self.shared.limits().of(choice.endpoint.key);
         slog::debug!(self.log, "sent"; "request" => job.request.id.as_str(),
@@ -134,8 +136,9 @@
             "left_ms" => job.left_ms(self.now_ms()));
     }
 
+    /// Logs and counts a failed send.
     pub(super) fn log_failure(&self, job: &Job, choice: &choose::Choice<'_>, failure: &Failure) {
-        let (what, detail) = match failure {
+        let (outcome, detail) = match failure {
             Failure::NotSent(error) => ("not_sent", error.to_string()),
             Failure::NotRun { status, .. } => ("not_run", status.to_string()),
             Failure::WrongEndpoint => ("wrong_endpoint", String::new()),
@@ -146,9 +149,9 @@
             Failure::NotRun { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
-        metrics::send_outcome(&job.service().name, what);
+        metrics::send_outcome(&job.service().name, outcome);
         slog::info!(self.log, "send failed"; "request" => job.request.id.as_str(),
-            "endpoint" => choice.endpoint.id.as_str(), "outcome" => what, "detail" => detail,
+            "endpoint" => choice.endpoint.id.as_str(), "outcome" => outcome, "detail" => detail,
             "retry_after_ms" => retry_after_ms,
             "attempt" => job.attempts, "waited_ms" => self.now_ms() - job.arrived_ms);
     }
