--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! Entries that forward straight to endpoints: their decisions and connections, without a platform.
+//! Tests of forwarding entries without a platform: policies, state exchange, duties and connections.
 
 mod backoff;
 mod billing;
@@ -22,10 +22,10 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// The seed of all properties; printed by each, so that a failure can be run again.
+/// Seed of all property tests. Each test prints it, so that a failure can be reproduced.
 const SEED: u64 = 20_261_203;
 
-/// Settings of a property.
+/// Configuration of a property test with this number of cases.
 fn cases(count: u32) -> Config {
     println!("seed {SEED}, {count} cases");
     Config {
