--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, services and client accounts of a configuration.
+//! Tests of the traffic configuration: routes, services, client accounts and ranks.
 
 use briarwinch::gateway::request::Rank;
 use briarwinch::gateway::route::{
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn longest_prefix_of_the_host_wins() {
+fn a_path_matches_the_longest_prefix_of_its_host() {
     let table = table();
     let find = |host: &str, path: &str| {
         table.find(host, path).map(|key| table.route(key).path_prefix.to_string())
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn split_traffic_follows_the_weights() {
+fn traffic_split_follows_the_weights() {
     let table = table();
     let key = table.find("two.example", "/a/").expect("a route");
     let draw = |draw| table.draw_service(table.route(key), draw);
@@ -78,18 +78,18 @@
 }
 
 #[test]
-fn keys_name_their_account() {
+fn an_api_key_identifies_its_account() {
     let table = table();
     assert_eq!(table.account_for_key("key-2").map(|one| one.name.as_str()), Some("court"));
     assert!(table.account_for_key("key-3").is_none());
     assert!(table.has_accounts());
 }
 
-/// An account's urgent short questions and its long reviews have the account's own priority. Were they
-/// alike to an engine that is full, it would stop the newest of them, the short question, and go on
-/// with the long review: the user sees an answer stop in the middle.
+/// Guards against a short urgent answer that stops in the middle. Urgent short questions and long reviews
+/// of an account both have the account's priority. With equal ranks a full engine would preempt the newest
+/// of them, the short question, and go on with the long review.
 #[test]
-fn an_accounts_requests_rank_among_each_other_by_their_routes() {
+fn requests_of_one_account_are_ranked_by_their_routes() {
     let with_priority =
         |prefix: &str, priority: u8| Route { priority, ..route("one.example", prefix, &[(0, 1)]) };
     let account = |name: &str, priority: Option<u8>| Account {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn places_share_a_step_only_where_a_scale_has_too_few() {
+fn positions_share_a_value_only_if_the_scale_is_too_small() {
     let scaled = |position, levels| Rank { position, levels }.scaled(9);
     assert_eq!([scaled(0, 5), scaled(4, 5)], [0, 4]);
     assert_eq!([scaled(0, 21), scaled(10, 21), scaled(20, 21)], [0, 4, 9]);
