--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that answer as they should, and as they should not.
+//! Tests of HTTP/1.1 connections to endpoints that respond correctly and incorrectly.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,8 +10,8 @@
 const LIMIT: Duration = Duration::from_secs(10);
 const REQUEST: &[u8] = b"GET /x HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// An endpoint that answers each request head on its one connection with the next of these texts,
-/// and ends the connection after the last.
+/// Starts an endpoint that accepts one connection, answers each request head with the next of these
+/// responses and closes the connection after the last.
 fn endpoint(answers: Vec<&'static [u8]>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -47,7 +47,7 @@
     Ok((head.status, body.to_vec()))
 }
 
-fn once(answer: &'static [u8]) -> Result<(u16, Vec<u8>), Error> {
+fn exchange_once(answer: &'static [u8]) -> Result<(u16, Vec<u8>), Error> {
     run(async {
         let mut connection = Connection::open(endpoint(vec![answer]), LIMIT).await?;
         exchange(&mut connection).await
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn bodies_end_as_their_framing_says() {
+fn bodies_end_where_their_framing_ends() {
     let cases: [(&[u8], &[u8]); 4] = [
         (b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc", b"abc"),
         (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\na\r\n2;x=y\r\nbc\r\n0\r\n\r\n", b"abc"),
@@ -63,13 +63,14 @@
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", b""),
     ];
     for (answer, body) in cases {
-        assert_eq!(once(answer).expect("whole"), (200, body.to_vec()));
+        assert_eq!(exchange_once(answer).expect("whole"), (200, body.to_vec()));
     }
 }
 
-/// An endpoint that crashes cuts its answer. Taken as whole, the user would see half of it as all.
+/// Guards against a truncated response that passes for a complete one. An endpoint that crashes sends
+/// only a part of its response.
 #[test]
-fn cut_answers_are_not_whole() {
+fn truncated_responses_are_errors() {
     let cases: [&[u8]; 4] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -77,12 +78,12 @@
         b"HTTP/1.1 200 OK\r\ncontent-le",
     ];
     for answer in cases {
-        assert!(once(answer).is_err(), "{}", String::from_utf8_lossy(answer));
+        assert!(exchange_once(answer).is_err(), "{}", String::from_utf8_lossy(answer));
     }
 }
 
 #[test]
-fn what_is_no_http_is_said_to_be_none() {
+fn malformed_responses_are_rejected() {
     let cases: [&[u8]; 3] = [
         b"hello\r\n\r\n",
         b"HTTP/1.1 200 OK\r\ncontent-length: many\r\n\r\n",
@@ -90,18 +91,18 @@
     ];
     for answer in cases {
         assert!(
-            matches!(once(answer), Err(Error::Malformed)),
+            matches!(exchange_once(answer), Err(Error::Malformed)),
             "{}",
             String::from_utf8_lossy(answer)
         );
     }
-    assert!(matches!(once(b""), Err(Error::Closed)));
+    assert!(matches!(exchange_once(b""), Err(Error::Closed)));
 }
 
-/// An endpoint sends a second answer after the first. Left in the connection, it would be taken for
-/// the answer to the next user's request.
+/// Guards against a response that reaches the wrong user. An endpoint sends a second response after the
+/// first, and on a reused connection it would be read as the response to the next user's request.
 #[test]
-fn a_connection_with_bytes_that_nobody_asked_for_is_not_used_again() {
+fn a_connection_with_unexpected_bytes_is_not_reused() {
     run(async {
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
         let mut connection = Connection::open(endpoint(vec![answer]), LIMIT).await.expect("open");
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn connections_are_used_again_unless_either_end_closes() {
+fn connections_are_reused_unless_the_endpoint_closes_them() {
     run(async {
         let good = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\nkeep-alive: timeout=7\r\n\r\na";
         let last = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\nconnection: close\r\n\r\nb";
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_is_no_connection() {
+fn connecting_to_a_closed_port_is_a_connect_error() {
     let free = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = free.local_addr().expect("an address");
     drop(free);
