--- a/tests/gateway/streams.rs
+++ b/tests/gateway/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events are passed on in whole events only.
+//! Tests that event streams are forwarded in complete events only.
 
 use briarwinch::gateway::event_splitter::EventSplitter;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 proptest! {
     #![proptest_config(crate::cases(300))]
     #[test]
-    fn any_cutting_into_pieces_gives_the_same_events(cuts in prop::collection::vec(0..STREAM.len(), 0..6)) {
+    fn any_split_into_pieces_gives_the_same_events(cuts in prop::collection::vec(0..STREAM.len(), 0..6)) {
         let mut cuts = cuts;
         cuts.extend([0, STREAM.len()]);
         cuts.sort_unstable();
@@ -29,10 +29,10 @@
     }
 }
 
-/// An endpoint that crashes may stop in the middle of an event. Passed on, the torn event and the
-/// next endpoint's first one would run together for the user.
+/// Guards against merged events. An endpoint that crashes may stop in the middle of an event. If that
+/// part were forwarded, the user would get it joined with the first event of the next endpoint.
 #[test]
-fn a_torn_event_is_kept_back() {
+fn an_incomplete_event_is_held_back() {
     let mut splitter = EventSplitter::default();
     let events = splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short");
     assert_eq!(&events.bytes[..], b"id: 1\ndata: a\n\n");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_endless_event_is_given_up() {
+fn an_event_over_the_size_limit_is_rejected() {
     let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 300 << 10];
     let pushed: Vec<bool> = (0..5).map(|_| splitter.push(&piece).is_some()).collect();
