--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -24,7 +24,7 @@
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 /// Maximum number of failed connects per request. It is more than it takes to move away from two failed
 /// zones.
-const MAX_UNSENT: u32 = 6;
+const MAX_FAILED_CONNECTS: u32 = 6;
 /// Interval at which an eligible endpoint is looked for again if there is none.
 const NO_ENDPOINT_POLL: Duration = Duration::from_millis(25);
 /// Fraction of the latency target for which a request waits for an eligible endpoint. It is below an
@@ -154,7 +154,7 @@
         self: &Rc<Self>,
         job: &mut Job,
     ) -> Result<OpenResponse, error::Refusal> {
-        let mut unsent = 0;
+        let mut failed_connects = 0;
         let hold_ms = (f64::from(job.route().latency_target_ms) * HOLD_RATIO) as u64;
         loop {
             let now_ms = self.now_ms();
@@ -162,14 +162,14 @@
                 return Err(self.final_refusal(job, error::Kind::DeadlineExceeded));
             }
             let snapshot = self.shared.snapshot.load_full();
-            let Some(choice) = self.choose(&snapshot, job) else {
+            let Some(choice) = self.choose_endpoint(&snapshot, job) else {
                 if now_ms > job.arrived_ms + hold_ms {
                     return Err(self.final_refusal(job, error::Kind::NoEndpoint));
                 }
                 time::sleep(NO_ENDPOINT_POLL).await;
                 continue;
             };
-            let is_first = !job.reached_endpoint && unsent == 0;
+            let is_first = !job.reached_endpoint && failed_connects == 0;
             if is_first
                 && job.request.prompt.is_some()
                 && !self.shared.gate.passes(
@@ -208,8 +208,8 @@
                     job.pending_billing = None;
                     job.attempts -= 1;
                     job.unreachable_zones.push(choice.endpoint.zone.clone());
-                    unsent += 1;
-                    if unsent > MAX_UNSENT {
+                    failed_connects += 1;
+                    if failed_connects > MAX_FAILED_CONNECTS {
                         return Err(self.final_refusal(job, error::Kind::NoEndpoint));
                     }
                 }
@@ -254,7 +254,12 @@
             && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
     }
 
-    fn choose<'a>(&self, snapshot: &'a shared::Snapshot, job: &Job) -> Option<choose::Choice<'a>> {
+    /// Chooses an endpoint among the eligible ones that have not been tried.
+    fn choose_endpoint<'a>(
+        &self,
+        snapshot: &'a shared::Snapshot,
+        job: &Job,
+    ) -> Option<choose::Choice<'a>> {
         let service = job.service();
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
@@ -341,7 +346,7 @@
         let snapshot = self.shared.snapshot.load();
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().has_room(&job.service().name, sharers, now_ms)
-            && self.choose(&snapshot, job).is_some()
+            && self.choose_endpoint(&snapshot, job).is_some()
     }
 
     /// Counts a request that has started to run for its account's bill, at most once.
