--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -61,7 +61,7 @@
     splitter: event_splitter::EventSplitter,
     last_event_id: Option<u64>,
     timing: EventTiming,
-    is_over: bool,
+    has_ended: bool,
 }
 
 /// Arrival times of a stream's events, for pause statistics and the log.
@@ -103,10 +103,10 @@
         splitter: event_splitter::EventSplitter::default(),
         last_event_id,
         timing: EventTiming::default(),
-        is_over: false,
+        has_ended: false,
     };
-    let first = source.first().await;
-    source.is_over |= first.is_err();
+    let first = source.first_events().await;
+    source.has_ended |= first.is_err();
     let first = first?;
     // Headers and signature are those of the endpoint whose events are sent first.
     let head = source
@@ -115,7 +115,7 @@
         .map(|response| response.head.clone())
         .ok_or_else(|| gateway.final_refusal(&source.job, error::Kind::EndpointFailed))?;
     let rest = stream::unfold(source, async |mut source| {
-        let next = source.next().await?;
+        let next = source.next_events().await?;
         Some((next, source))
     });
     let events =
@@ -125,7 +125,7 @@
 
 impl Drop for EventSource {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.has_ended {
             return;
         }
         let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
@@ -137,7 +137,7 @@
 
 impl EventSource {
     /// Waits for the first events; `None` if the stream ended without any.
-    async fn first(&mut self) -> Result<Option<Bytes>, error::Refusal> {
+    async fn first_events(&mut self) -> Result<Option<Bytes>, error::Refusal> {
         loop {
             match self.step().await {
                 Step::Events(bytes) => {
@@ -171,8 +171,8 @@
     }
 
     /// Waits for the next events; `None` if the stream has ended.
-    async fn next(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
-        if self.is_over {
+    async fn next_events(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
+        if self.has_ended {
             return None;
         }
         loop {
@@ -188,7 +188,7 @@
                 Step::Lost(error) => {
                     self.record_loss(&error);
                     if self.gateway.now_ms() >= self.job.deadline_ms || !self.resume().await {
-                        self.is_over = true;
+                        self.has_ended = true;
                         metrics::stream_ended(&self.job.service().name, "broken_off");
                         slog::info!(self.gateway.log, "stream broken off";
                             "request" => self.job.request.id.as_str(), "event" => self.last_event_id);
@@ -202,7 +202,7 @@
     /// Reads from the endpoint until complete events, the end of the stream or a failure.
     async fn step(&mut self) -> Step {
         loop {
-            let piece = match self.piece().await {
+            let piece = match self.next_piece().await {
                 Ok(Some(piece)) => piece,
                 Ok(None) if self.splitter.has_partial_event() => {
                     return Step::Lost(http1::Error::Closed);
@@ -236,7 +236,7 @@
     ///
     /// If the stream can move to another endpoint, the wait ends before the caller's own time limit: at
     /// 2/5 of it if the endpoint has sent nothing on any connection, else at 4/5.
-    async fn piece(&mut self) -> Result<Option<Bytes>, http1::Error> {
+    async fn next_piece(&mut self) -> Result<Option<Bytes>, http1::Error> {
         let gateway = Rc::clone(&self.gateway);
         let Some(response) = self.response.as_mut() else {
             return Err(http1::Error::Closed);
@@ -322,7 +322,7 @@
 
     /// Records a completed stream and returns its connection to the pool.
     fn finish(&mut self) {
-        self.is_over = true;
+        self.has_ended = true;
         let Some(response) = self.response.take() else {
             return;
         };
