--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -128,7 +128,7 @@
 /// Protocol between entry and endpoint, implemented by a platform adapter.
 pub trait EndpointProtocol: std::fmt::Debug {
     /// Encodes a request for an HTTP/1.1 connection.
-    fn encode(&self, call: &EndpointRequest<'_>) -> Vec<u8>;
+    fn encode(&self, request: &EndpointRequest<'_>) -> Vec<u8>;
     /// Extracts the protocol information from the head of a response.
     fn parse_head(&self, head: &http1::Head) -> ResponseInfo;
 }
