--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -38,7 +38,7 @@
 /// A decoded object or change from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    Config(Box<route::Parts>),
+    Config(Box<route::TableData>),
     Endpoint(directory::Event),
     Evacuation(evacuation::Change),
 }
@@ -83,7 +83,7 @@
     async fn held_parts(
         &self,
         engine: &directory::Endpoint,
-    ) -> Result<Vec<request::Part>, store::Failure>;
+    ) -> Result<Vec<request::PromptPart>, store::Failure>;
 
     /// Reports a billing window's counts.
     async fn report_usage(
@@ -288,7 +288,7 @@
     }
 
     /// Applies a configuration if it is newer than the one in force.
-    pub(super) fn apply_config(&self, parts: route::Parts, source: &'static str) {
+    pub(super) fn apply_config(&self, parts: route::TableData, source: &'static str) {
         let known = self.config_version();
         if parts.version <= known {
             return;
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -3,7 +3,7 @@
 
 use crate::gateway::control::Control;
 use crate::gateway::policy::{limits, warmup};
-use crate::gateway::{departures, directory, evacuation, lines, route};
+use crate::gateway::{departures, directory, evacuation, request_log, route};
 
 impl<P> Control<P> {
     /// Applies a change to the evacuated zones, and publishes the result if it differs.
@@ -59,7 +59,7 @@
         for one in received {
             let change = limits.apply_update(*one, now_ms);
             if let (Some(change), Some(endpoint)) = (change, directory.find(one.endpoint)) {
-                lines::endpoint_limit(&self.log, &endpoint.id, change, "peer");
+                request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "peer");
             }
         }
     }
@@ -75,7 +75,7 @@
         for departure in received {
             let is_new = departures.record(*departure, now_ms);
             if let Some(endpoint) = directory.find(departure.endpoint).filter(|_| is_new) {
-                lines::endpoint_leaves(&self.log, endpoint, "peer");
+                request_log::log_endpoint_leaving(&self.log, endpoint, "peer");
             }
         }
     }
@@ -110,7 +110,8 @@
         let exchange = self.exchange.borrow();
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
-            let most_per_s = warmup::max_per_s_per_sender(warm_up.per_s, rate.factor, rate.extra);
+            let most_per_s =
+                warmup::max_per_s_per_sender(warm_up.requests_per_s, rate.factor, rate.extra);
             for endpoint in directory.accepting(&service.name) {
                 let reinstated_until_ms =
                     reinstated_at_ms.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
--- /dev/null
+++ b/src/gateway/event_stream.rs
@@ -0,0 +1,352 @@
+//! Body of a streamed response: forwards complete events as they arrive and resumes the stream at
+//! another endpoint if the route allows it.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures_util::{Stream, stream};
+use tokio::time;
+
+use super::attempt::OpenResponse;
+use super::job::Job;
+use super::{Gateway, event_splitter, http1, metrics};
+use crate::error;
+
+/// The stream ended before it was complete. The caller's connection has to be closed, so that the
+/// response does not look complete.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
+#[display("event stream interrupted")]
+pub struct StreamInterrupted;
+
+impl std::error::Error for StreamInterrupted {}
+
+/// A stream of bytes that yields complete events.
+pub struct EventStream {
+    events: Pin<Box<dyn Stream<Item = Result<Bytes, StreamInterrupted>>>>,
+}
+
+impl std::fmt::Debug for EventStream {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str("EventStream(..)")
+    }
+}
+
+impl Stream for EventStream {
+    type Item = Result<Bytes, StreamInterrupted>;
+
+    fn poll_next(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
+        self.get_mut().events.as_mut().poll_next(context)
+    }
+}
+
+/// Result of waiting for events.
+#[derive(Debug)]
+enum Step {
+    Events(Bytes),
+    End,
+    /// The connection to the endpoint failed, or the endpoint stopped sending.
+    Lost(http1::Error),
+}
+
+/// An open stream with its request.
+struct EventSource {
+    gateway: Rc<Gateway>,
+    job: Job,
+    /// `None` while the stream is moved to another endpoint: closing the connection makes the previous
+    /// endpoint stop its work.
+    response: Option<OpenResponse>,
+    splitter: event_splitter::EventSplitter,
+    last_event_id: Option<u64>,
+    timing: EventTiming,
+    has_ended: bool,
+}
+
+/// Arrival times of a stream's events, for pause statistics and the log.
+#[derive(Clone, Copy, Debug, Default)]
+struct EventTiming {
+    first_ms: Option<u64>,
+    last_ms: u64,
+    longest_pause_ms: u64,
+    events: u64,
+}
+
+impl EventTiming {
+    fn event(&mut self, now_ms: u64) {
+        if self.first_ms.is_none() {
+            self.first_ms = Some(now_ms);
+        } else {
+            self.longest_pause_ms = self.longest_pause_ms.max(now_ms - self.last_ms);
+        }
+        self.last_ms = now_ms;
+        self.events += 1;
+    }
+}
+
+/// Opens a stream and waits for its first events. A stream that fails before them can thus still be
+/// answered with an error status.
+///
+/// # Errors
+/// The refusal for the caller, if no endpoint delivers a first event.
+pub(super) async fn open(
+    gateway: &Rc<Gateway>,
+    job: Job,
+    response: OpenResponse,
+) -> Result<(http1::Head, EventStream), error::Refusal> {
+    let last_event_id = job.request.last_event_id;
+    let mut source = EventSource {
+        gateway: Rc::clone(gateway),
+        job,
+        response: Some(response),
+        splitter: event_splitter::EventSplitter::default(),
+        last_event_id,
+        timing: EventTiming::default(),
+        has_ended: false,
+    };
+    let first = source.first_events().await;
+    source.has_ended |= first.is_err();
+    let first = first?;
+    // Headers and signature are those of the endpoint whose events are sent first.
+    let head = source
+        .response
+        .as_ref()
+        .map(|response| response.head.clone())
+        .ok_or_else(|| gateway.final_refusal(&source.job, error::Kind::EndpointFailed))?;
+    let rest = stream::unfold(source, async |mut source| {
+        let next = source.next_events().await?;
+        Some((next, source))
+    });
+    let events =
+        Box::pin(stream::StreamExt::chain(stream::iter(first.into_iter().map(Ok)), Box::pin(rest)));
+    Ok((head, EventStream { events }))
+}
+
+impl Drop for EventSource {
+    fn drop(&mut self) {
+        if self.has_ended {
+            return;
+        }
+        let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
+        metrics::stream_ended(&self.job.service().name, "caller_left");
+        slog::info!(self.gateway.log, "caller left"; "request" => self.job.request.id.as_str(),
+            "event" => self.last_event_id, "took_ms" => took_ms);
+    }
+}
+
+impl EventSource {
+    /// Waits for the first events; `None` if the stream ended without any.
+    async fn first_events(&mut self) -> Result<Option<Bytes>, error::Refusal> {
+        loop {
+            match self.step().await {
+                Step::Events(bytes) => {
+                    self.learn_prefill_rate();
+                    let took_ms = self.gateway.now_ms() - self.job.arrived_ms;
+                    metrics::first_event(&self.job.service().name, took_ms);
+                    self.mark_prefill_done();
+                    let now_ms = self.gateway.now_ms();
+                    self.gateway.bill(&mut self.job, now_ms);
+                    return Ok(Some(bytes));
+                }
+                Step::End => {
+                    self.finish();
+                    return Ok(None);
+                }
+                Step::Lost(error) => {
+                    self.record_loss(&error);
+                    if self.gateway.now_ms() >= self.job.deadline_ms {
+                        return Err(self
+                            .gateway
+                            .final_refusal(&self.job, error::Kind::DeadlineExceeded));
+                    }
+                    if !self.resume().await {
+                        return Err(self
+                            .gateway
+                            .final_refusal(&self.job, error::Kind::EndpointFailed));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Waits for the next events; `None` if the stream has ended.
+    async fn next_events(&mut self) -> Option<Result<Bytes, StreamInterrupted>> {
+        if self.has_ended {
+            return None;
+        }
+        loop {
+            match self.step().await {
+                Step::Events(bytes) => {
+                    self.mark_prefill_done();
+                    return Some(Ok(bytes));
+                }
+                Step::End => {
+                    self.finish();
+                    return None;
+                }
+                Step::Lost(error) => {
+                    self.record_loss(&error);
+                    if self.gateway.now_ms() >= self.job.deadline_ms || !self.resume().await {
+                        self.has_ended = true;
+                        metrics::stream_ended(&self.job.service().name, "broken_off");
+                        slog::info!(self.gateway.log, "stream broken off";
+                            "request" => self.job.request.id.as_str(), "event" => self.last_event_id);
+                        return Some(Err(StreamInterrupted));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Reads from the endpoint until complete events, the end of the stream or a failure.
+    async fn step(&mut self) -> Step {
+        loop {
+            let piece = match self.next_piece().await {
+                Ok(Some(piece)) => piece,
+                Ok(None) if self.splitter.has_partial_event() => {
+                    return Step::Lost(http1::Error::Closed);
+                }
+                Ok(None) => return Step::End,
+                Err(error) => return Step::Lost(error),
+            };
+            if let Some(response) = &self.response {
+                let now_ms = self.gateway.now_ms();
+                self.gateway.health.borrow_mut().record_bytes(response.endpoint.key, now_ms);
+            }
+            let Some(events) = self.splitter.push(&piece) else {
+                return Step::Lost(http1::Error::Malformed);
+            };
+            if events.bytes.is_empty() {
+                continue;
+            }
+            if let (Some(first), Some(last)) = (events.first_id, self.last_event_id)
+                && first <= last
+            {
+                // Forwarding these events would send the caller data that it already has.
+                return Step::Lost(http1::Error::Malformed);
+            }
+            self.last_event_id = events.last_id.or(self.last_event_id);
+            self.timing.event(self.gateway.now_ms());
+            return Step::Events(events.bytes);
+        }
+    }
+
+    /// Reads the next piece of the endpoint's body.
+    ///
+    /// If the stream can move to another endpoint, the wait ends before the caller's own time limit: at
+    /// 2/5 of it if the endpoint has sent nothing on any connection, else at 4/5.
+    async fn next_piece(&mut self) -> Result<Option<Bytes>, http1::Error> {
+        let gateway = Rc::clone(&self.gateway);
+        let Some(response) = self.response.as_mut() else {
+            return Err(http1::Error::Closed);
+        };
+        let began_ms = gateway.now_ms();
+        let left_ms = self.job.left_ms(began_ms);
+        let timeout_ms = self.job.stream_timeout_ms();
+        let can_resume = self.job.kind.is_repeatable() && self.job.has_attempt_left(began_ms);
+        let (mut limit_ms, max_ms) = if can_resume {
+            ((timeout_ms * 2 / 5).min(left_ms), (timeout_ms * 4 / 5).min(left_ms))
+        } else {
+            (left_ms, left_ms)
+        };
+        loop {
+            let now_ms = gateway.now_ms();
+            let wait = Duration::from_millis((began_ms + limit_ms).saturating_sub(now_ms));
+            match time::timeout(wait, response.connection.next_piece()).await {
+                Ok(piece) => return piece,
+                Err(_)
+                    if limit_ms < max_ms && gateway.is_alive(response.endpoint.key, began_ms) =>
+                {
+                    limit_ms = max_ms;
+                }
+                Err(_) => return Err(http1::Error::TimedOut),
+            }
+        }
+    }
+
+    /// Removes the prompt's tokens from the endpoint's load.
+    fn mark_prefill_done(&mut self) {
+        if let Some(response) = &mut self.response {
+            response.load_guard.prefill_done();
+        }
+    }
+
+    /// Updates the estimate of the prefill rate from the time to the first event.
+    fn learn_prefill_rate(&self) {
+        let Some(response) = &self.response else {
+            return;
+        };
+        let took_ms = self.gateway.now_ms() - response.sent_ms;
+        let service = &self.job.service().name;
+        self.gateway.shared.record_prefill(service, response.load_guard.prefill_tokens(), took_ms);
+    }
+
+    /// Records that the endpoint of the stream failed.
+    fn record_loss(&mut self, error: &http1::Error) {
+        self.job.may_have_run = true;
+        let Some(response) = &self.response else {
+            return;
+        };
+        let (gateway, endpoint) = (&self.gateway, &response.endpoint);
+        let now_ms = gateway.now_ms();
+        let took_ms = now_ms - response.sent_ms;
+        gateway.health.borrow_mut().record_answer(endpoint.key, false, took_ms, now_ms);
+        if matches!(error, http1::Error::TimedOut) && now_ms < self.job.deadline_ms {
+            gateway.mark_unreachable(endpoint);
+        }
+        slog::info!(gateway.log, "stream lost"; "request" => self.job.request.id.as_str(),
+            "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id,
+            "detail" => error.to_string(), "attempt" => self.job.attempts);
+    }
+
+    /// Resumes the stream after the last event at another endpoint, if the route allows it.
+    async fn resume(&mut self) -> bool {
+        if !self.job.kind.is_repeatable() || !self.job.has_attempt_left(self.gateway.now_ms()) {
+            return false;
+        }
+        self.response = None;
+        self.job.request.last_event_id = self.last_event_id;
+        let Ok(response) = self.gateway.send(&mut self.job).await else {
+            return false;
+        };
+        let is_stream = (200..300).contains(&response.head.status);
+        metrics::stream_ended(&self.job.service().name, "taken_up");
+        slog::info!(self.gateway.log, "stream taken up"; "request" => self.job.request.id.as_str(),
+            "endpoint" => response.endpoint.id.as_str(), "event" => self.last_event_id,
+            "status" => response.head.status);
+        self.response = Some(response);
+        self.splitter = event_splitter::EventSplitter::default();
+        is_stream
+    }
+
+    /// Records a completed stream and returns its connection to the pool.
+    fn finish(&mut self) {
+        self.has_ended = true;
+        let Some(response) = self.response.take() else {
+            return;
+        };
+        let now_ms = self.gateway.now_ms();
+        let endpoint = &response.endpoint;
+        let took_ms = now_ms - response.sent_ms;
+        self.gateway.health.borrow_mut().record_answer(endpoint.key, true, took_ms, now_ms);
+        self.gateway.pool.borrow_mut().put(endpoint.addr, response.connection, now_ms);
+        self.gateway.pauses.borrow_mut().record_stream(
+            endpoint.key,
+            self.timing.events,
+            self.timing.longest_pause_ms,
+            now_ms,
+        );
+        if let Some(first_ms) = self.timing.first_ms {
+            let prompt = self.job.request.prompt.as_ref();
+            let output_tokens = prompt.map_or(0, |prompt| prompt.max_output_tokens);
+            let service = &self.job.service().name;
+            self.gateway.shared.record_run(service, output_tokens, now_ms - first_ms);
+        }
+        metrics::stream_ended(&self.job.service().name, "whole");
+        slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
+            "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id, "took_ms" => took_ms,
+            "first_ms" => self.timing.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
+            "longest_pause_ms" => self.timing.longest_pause_ms);
+    }
+}
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -11,7 +11,7 @@
 use crate::gateway::fleet::exchange::{LocalState, Outgoing};
 use crate::gateway::fleet::message::{Message, State};
 use crate::gateway::fleet::pulls;
-use crate::gateway::measures;
+use crate::gateway::metrics;
 use crate::{clock, lease, metric, seal};
 
 /// Interval between two ticks of the exchange.
@@ -134,7 +134,7 @@
         let departures = control.shared.departures();
         snapshot.directory.endpoints().iter().filter(|one| departures.contains(one)).count()
     };
-    measures::known(
+    metrics::control_state(
         &snapshot,
         limited,
         leaving,
@@ -153,7 +153,7 @@
                 continue;
             }
         };
-        measures::told(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
+        metrics::messages_sent(one.message.kind(), one.to.len() as u64, bytes.len() as u64);
         for addr in one.to {
             // A failed send is treated like a lost datagram: a later message makes up for it.
             let _ = control.socket.try_send_to(&bytes, addr);
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -36,7 +36,7 @@
 /// Response to a pull: what its sender has that is newer than the requester's versions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PullResponse {
-    config: Option<route::Parts>,
+    config: Option<route::TableData>,
     directory: Option<directory::Directory>,
     lapsed: Vec<directory::Lapsed>,
     cold: Vec<directory::Cold>,
@@ -280,7 +280,7 @@
         let (table, directory) = (control.table.borrow(), control.directory.borrow());
         let newer = table.as_ref().filter(|table| table.version() > request.config_version);
         PullResponse {
-            config: newer.map(|table| table.parts().clone()),
+            config: newer.map(|table| table.data().clone()),
             directory: (directory.revision() > request.directory_revision)
                 .then(|| directory.clone()),
             lapsed: directory.lapsed(control.now_ms()),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! Entries that forward requests straight to endpoints, without a side process.
+//! Entries that forward requests directly to endpoints, without a side process.
 //!
-//! For platforms on which each endpoint queues and batches by itself: the entry finds the route, the
-//! client account and the endpoint, sends the request over HTTP/1.1 and streams the answer back. A
-//! control thread follows the platform's store, exchanges state with the other entries and
-//! contends for the duties. What speaks a platform's own form is an adapter behind the ports
-//! [`request::EndpointForm`] and [`control::Platform`].
+//! They serve platforms on which each endpoint queues and batches its own requests. The entry selects
+//! the route, the client account and the endpoint, sends the request over HTTP/1.1 and streams the
+//! response back. A control thread watches the platform's store, exchanges state with the other
+//! entries and competes for the duties' leases. Platform-specific protocols are adapters that
+//! implement [`request::EndpointProtocol`] and [`control::Platform`].
 
 pub mod attempt;
 pub mod control;
@@ -14,18 +14,18 @@
 pub mod duties;
 mod eligibility;
 pub mod evacuation;
-pub mod events;
-pub mod events_body;
+pub mod event_splitter;
+pub mod event_stream;
 pub mod fleet;
 pub mod http1;
 pub mod job;
-mod lines;
-pub mod measures;
+pub mod metrics;
 pub mod policy;
 pub mod pool;
 pub mod relay;
 pub mod reload;
 pub mod request;
+mod request_log;
 pub mod route;
 pub mod settings;
 pub mod shared;
@@ -41,14 +41,14 @@
 use self::policy::{backoff, budget, health, pauses, warmup};
 use crate::clock;
 
-/// How often idle connections and old knowledge are looked over.
+/// Interval at which idle connections and outdated state are removed.
 const SWEEP_MS: u64 = 500;
 
-/// One traffic thread of an entry.
+/// State of one traffic thread of an entry.
 #[derive(Debug)]
 pub struct Gateway {
     shared: Arc<shared::Shared>,
-    form: Box<dyn request::EndpointForm>,
+    protocol: Box<dyn request::EndpointProtocol>,
     pool: RefCell<pool::Pool>,
     health: RefCell<health::Health>,
     pauses: RefCell<pauses::Pauses>,
@@ -59,17 +59,17 @@
 }
 
 impl Gateway {
-    /// Starts a traffic thread's part on the current thread.
+    /// Creates the gateway of the current traffic thread and starts its periodic sweep.
     #[must_use]
-    pub fn open(
+    pub fn start(
         shared: Arc<shared::Shared>,
-        form: Box<dyn request::EndpointForm>,
+        protocol: Box<dyn request::EndpointProtocol>,
         log: slog::Logger,
     ) -> Rc<Self> {
         let gateway = Rc::new(Self {
             budgets: RefCell::new(budget::RetryBudgets::new(shared.settings.retries.allowed())),
             shared,
-            form,
+            protocol,
             pool: RefCell::default(),
             health: RefCell::default(),
             pauses: RefCell::default(),
@@ -81,7 +81,7 @@
         gateway
     }
 
-    /// What this entry's threads share.
+    /// State that the threads of this entry share.
     #[must_use]
     pub fn shared(&self) -> &Arc<shared::Shared> {
         &self.shared
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -22,7 +22,7 @@
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
 use crate::gateway::policy::{admission, health, load, pauses, prefill, prefix_index};
-use crate::gateway::request::{Part, Prompt};
+use crate::gateway::request::{Prompt, PromptPart};
 use crate::gateway::route;
 
 /// Time that each running request adds to a first event, through its part of each decoding step.
@@ -161,7 +161,7 @@
 }
 
 fn has_document(endpoint: &Endpoint, prompt: &Prompt, inputs: &Inputs<'_>) -> bool {
-    let document = prompt.shared().last();
+    let document = prompt.shared_parts().last();
     document.is_some_and(|part| inputs.prefix_index.is_cached(endpoint.key, part.id, inputs.now_ms))
 }
 
@@ -191,9 +191,10 @@
 /// unsuitable as a hash key: a few first parts are common to hundreds of documents, which would all
 /// go to the same few endpoints.
 fn rendezvous(candidates: &[&Endpoint], prompt: &Prompt, inputs: &Inputs<'_>) -> Preferred {
-    let is_new =
-        |part: &&Part| !inputs.prefix_index.is_cached_at_any(candidates, part.id, inputs.now_ms);
-    let Some(part) = prompt.shared().last().filter(is_new) else {
+    let is_new = |part: &&PromptPart| {
+        !inputs.prefix_index.is_cached_at_any(candidates, part.id, inputs.now_ms)
+    };
+    let Some(part) = prompt.shared_parts().last().filter(is_new) else {
         return [None; RENDEZVOUS_WEIGHTS.len()];
     };
     let weight = |one: &Endpoint| xxh3::xxh3_64_with_seed(one.id.as_bytes(), part.id);
@@ -219,9 +220,10 @@
     let work = inputs.load_table.work_at(endpoint.key, inputs.now_ms);
     let has_tokens = inputs.prefix_index.cached_tokens(endpoint.key, &prompt.parts, inputs.now_ms);
     let unread_tokens = prompt.tokens.saturating_sub(has_tokens);
-    let shared_tokens: u32 = prompt.shared().iter().map(|part| part.tokens).sum();
+    let shared_tokens: u32 = prompt.shared_parts().iter().map(|part| part.tokens).sum();
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
-    let document_tokens = prompt.shared().last().map_or(0, |part| part.tokens).min(missing_tokens);
+    let document_tokens =
+        prompt.shared_parts().last().map_or(0, |part| part.tokens).min(missing_tokens);
     let document_ms = inputs.prefill.prefill_ms(u64::from(document_tokens));
     let common_prefix_ms = inputs.prefill.prefill_ms(u64::from(missing_tokens - document_tokens));
     let concurrency_ms = f64::from(work.requests) * PER_REQUEST_MS
--- a/src/gateway/policy/prefix_index.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::request::Part;
+use crate::gateway::request::PromptPart;
 
 /// How long a part is assumed to stay cached after its last use: about the time an engine takes to
 /// prefill as many tokens as its cache holds.
@@ -67,7 +67,7 @@
 impl PrefixIndex {
     /// Records that this entry sent these parts to an endpoint, and queues the placements to
     /// send to the other entries.
-    pub fn record_sent(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn record_sent(&mut self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) {
         for part in parts {
             let sent_ms = self.sent_ms(endpoint, part.id);
             if sent_ms.is_none_or(|sent_ms| now_ms >= sent_ms + RESEND_MS) {
@@ -84,7 +84,7 @@
     }
 
     /// Records parts that an endpoint has cached, without sending them to the other entries.
-    pub fn record_cached(&mut self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) {
+    pub fn record_cached(&mut self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) {
         for part in parts {
             self.insert(part.id, Location { endpoint, used_ms: now_ms, sent_ms: now_ms });
         }
@@ -133,7 +133,7 @@
 
     /// Returns the length in tokens of the prompt prefix that an endpoint has cached.
     #[must_use]
-    pub fn cached_tokens(&self, endpoint: EndpointKey, parts: &[Part], now_ms: u64) -> u32 {
+    pub fn cached_tokens(&self, endpoint: EndpointKey, parts: &[PromptPart], now_ms: u64) -> u32 {
         parts
             .iter()
             .take_while(|part| self.is_cached(endpoint, part.id, now_ms))
--- a/src/gateway/lines.rs
+++ b/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! The log lines about a request: what was decided, by what inputs of what age, and what came of it.
+//! Log lines about requests: each decision with its inputs and their age, and the outcome.
 //! `docs/OPERATIONS.md` lists them.
 
 use std::cell::Cell;
@@ -8,42 +8,42 @@
 use super::attempt::Failure;
 use super::job::Job;
 use super::policy::{choose, limits};
-use super::request::{Answer, Request};
-use super::{Gateway, directory, measures};
+use super::request::{Request, Response};
+use super::{Gateway, directory, metrics};
 use crate::error;
 
-/// What a request asked for, for the line that says why it was refused.
-pub(super) struct Asked {
+/// Host and path of a request, for the log line about its refusal.
+pub(super) struct RequestedPath {
     host: CompactString,
     path: CompactString,
 }
 
-impl Asked {
+impl RequestedPath {
     pub(super) fn of(request: &Request) -> Self {
         Self { host: request.host.clone(), path: request.path().into() }
     }
 }
 
-/// Says so when the caller leaves before it is answered: its request's future is dropped then.
-pub(super) struct Caller<'a> {
+/// Logs that the caller disconnected before the response, when the future of its request is dropped.
+pub(super) struct DisconnectLog<'a> {
     gateway: &'a Gateway,
     id: &'a str,
     begin_ms: u64,
     is_answered: Cell<bool>,
 }
 
-impl<'a> Caller<'a> {
-    pub(super) fn wait(gateway: &'a Gateway, id: &'a str, begin_ms: u64) -> Self {
+impl<'a> DisconnectLog<'a> {
+    pub(super) fn start(gateway: &'a Gateway, id: &'a str, begin_ms: u64) -> Self {
         Self { gateway, id, begin_ms, is_answered: Cell::new(false) }
     }
 
-    /// It has its answer, or the head of it.
-    pub(super) fn is_answered(&self) {
+    /// Records that the response, or at least its head, is ready.
+    pub(super) fn mark_answered(&self) {
         self.is_answered.set(true);
     }
 }
 
-impl Drop for Caller<'_> {
+impl Drop for DisconnectLog<'_> {
     fn drop(&mut self) {
         if !self.is_answered.get() {
             let took_ms = self.gateway.now_ms() - self.begin_ms;
@@ -52,8 +52,8 @@
     }
 }
 
-/// An endpoint says itself that it leaves.
-pub(super) fn endpoint_leaves(
+/// Logs that an endpoint has announced that it is leaving.
+pub(super) fn log_endpoint_leaving(
     log: &slog::Logger,
     endpoint: &directory::Endpoint,
     source: &'static str,
@@ -63,8 +63,8 @@
         "source" => source);
 }
 
-/// An endpoint has named a limit, another one, or none any more.
-pub(super) fn endpoint_limit(
+/// Logs that an endpoint has set, changed or lifted its rate limit.
+pub(super) fn log_endpoint_limit(
     log: &slog::Logger,
     endpoint: &str,
     change: limits::Change,
@@ -76,36 +76,43 @@
 }
 
 impl Gateway {
-    /// Version of the configuration in force; zero: none.
+    /// Version of the active configuration; zero if there is none.
     fn config_version(&self) -> u64 {
         self.shared.snapshot.load().table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// Notes a request that could not be read, and was refused before it had a route.
-    pub fn refused_unread(&self, refusal: &error::Refusal) {
-        measures::refused(refusal.kind.answer().code);
-        slog::info!(self.log, "refused unread"; "status" => refusal.kind.answer().status,
+    /// Records a request that could not be read and was refused before it had a route.
+    pub fn log_unreadable_request(&self, refusal: &error::Refusal) {
+        metrics::refused(refusal.kind.answer().code);
+        slog::info!(self.log, "unreadable request refused"; "status" => refusal.kind.answer().status,
             "kind" => refusal.kind.answer().code, "detail" => refusal.detail.as_str());
     }
 
-    /// The answer that a request got.
-    pub(super) fn log_answer(&self, id: &str, asked: &Asked, answer: &Answer, took_ms: u64) {
-        match answer {
-            Answer::Refused(refusal) => {
+    /// Logs the response to a request.
+    pub(super) fn log_response(
+        &self,
+        id: &str,
+        requested: &RequestedPath,
+        response: &Response,
+        took_ms: u64,
+    ) {
+        match response {
+            Response::Refused(refusal) => {
                 slog::info!(self.log, "refused"; "request" => id, "took_ms" => took_ms,
                     "status" => refusal.kind.answer().status,
                     "kind" => refusal.kind.answer().code, "ran" => refusal.ran.to_string(),
-                    "retry_after_ms" => refusal.retry_after_ms, "host" => asked.host.as_str(),
-                    "path" => asked.path.as_str(), "version" => self.config_version(),
+                    "retry_after_ms" => refusal.retry_after_ms, "host" => requested.host.as_str(),
+                    "path" => requested.path.as_str(), "version" => self.config_version(),
                     "detail" => refusal.detail.as_str());
             }
-            Answer::Whole { head, .. } | Answer::Stream { head, .. } => {
+            Response::Complete { head, .. } | Response::Stream { head, .. } => {
                 slog::debug!(self.log, "answered"; "request" => id, "took_ms" => took_ms,
                     "status" => head.status);
             }
         }
     }
 
+    /// Logs that admission control refused a request.
     pub(super) fn log_turned_away(&self, job: &Job, choice: &choose::Choice<'_>) {
         slog::info!(self.log, "turned away"; "request" => job.request.id.as_str(),
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
@@ -114,12 +121,13 @@
             "load_age_ms" => self.shared.load_table().age_ms(self.now_ms()));
     }
 
+    /// Logs a send with the inputs of the choice of its endpoint.
     pub(super) fn log_choice(&self, job: &Job, choice: &choose::Choice<'_>) {
         let limit = self.shared.limits().rate(choice.endpoint.key);
         slog::debug!(self.log, "sent"; "request" => job.request.id.as_str(),
             "account" => job.account.as_deref(), "route" => job.route().name.as_str(),
             "version" => job.table.version(), "endpoint" => choice.endpoint.id.as_str(),
-            "priority" => job.priority, "rank" => job.rank().place,
+            "priority" => job.priority, "rank" => job.rank().position,
             "attempt" => job.attempts, "cost_ms" => choice.cost_ms as u64,
             "first_ms" => choice.first_ms as u64, "unread_tokens" => choice.unread_tokens,
             "ahead_tokens" => choice.work.unread_tokens, "running" => choice.work.requests,
@@ -128,21 +136,22 @@
             "left_ms" => job.left_ms(self.now_ms()));
     }
 
+    /// Logs and counts a failed send.
     pub(super) fn log_failure(&self, job: &Job, choice: &choose::Choice<'_>, failure: &Failure) {
-        let (what, detail) = match failure {
+        let (outcome, detail) = match failure {
             Failure::NotSent(error) => ("not_sent", error.to_string()),
             Failure::NotRun { status, .. } => ("not_run", status.to_string()),
             Failure::WrongEndpoint => ("wrong_endpoint", String::new()),
-            Failure::Closed => ("closed", String::new()),
+            Failure::NoLongerEligible => ("closed", String::new()),
             Failure::Unknown(error) => ("unknown", error.to_string()),
         };
         let retry_after_ms = match failure {
             Failure::NotRun { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
-        measures::sent(&job.service().name, what);
+        metrics::send_outcome(&job.service().name, outcome);
         slog::info!(self.log, "send failed"; "request" => job.request.id.as_str(),
-            "endpoint" => choice.endpoint.id.as_str(), "outcome" => what, "detail" => detail,
+            "endpoint" => choice.endpoint.id.as_str(), "outcome" => outcome, "detail" => detail,
             "retry_after_ms" => retry_after_ms,
             "attempt" => job.attempts, "waited_ms" => self.now_ms() - job.arrived_ms);
     }
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -6,13 +6,13 @@
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
 use briarwinch::gateway::policy::choose::{self, Inputs};
 use briarwinch::gateway::policy::{health, load, pauses, prefill, prefix_index};
-use briarwinch::gateway::request::{Part, Prompt};
+use briarwinch::gateway::request::{Prompt, PromptPart};
 use briarwinch::gateway::route;
 use compact_str::CompactString;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-const ENGINE: route::Engine = route::Engine { slots: 64, memory_tokens: 620_000 };
+const ENGINE: route::Engine = route::Engine { slots: 64, kv_cache_tokens: 620_000 };
 const NOW_MS: u64 = 1_000_000;
 const TARGET_MS: f64 = 2_000.0;
 const MAX_WAIT_MS: f64 = 8_000.0;
@@ -77,7 +77,10 @@
     Prompt {
         tokens: 17_000,
         max_output_tokens: 120,
-        parts: vec![Part { id: document, tokens: 13_300 }, Part { id: session, tokens: 3_700 }],
+        parts: vec![
+            PromptPart { id: document, tokens: 13_300 },
+            PromptPart { id: session, tokens: 3_700 },
+        ],
     }
 }
 
@@ -87,9 +90,9 @@
         tokens: 9_200,
         max_output_tokens: 50,
         parts: vec![
-            Part { id: 1, tokens: 2_500 },
-            Part { id: 100 + document, tokens: 3_800 },
-            Part { id: 10_000 + document, tokens: 2_900 },
+            PromptPart { id: 1, tokens: 2_500 },
+            PromptPart { id: 100 + document, tokens: 3_800 },
+            PromptPart { id: 10_000 + document, tokens: 2_900 },
         ],
     }
 }
@@ -98,7 +101,7 @@
     Prompt {
         tokens: 1_400,
         max_output_tokens: 170,
-        parts: vec![Part { id: session, tokens: 1_400 }],
+        parts: vec![PromptPart { id: session, tokens: 1_400 }],
     }
 }
 
@@ -273,7 +276,10 @@
     let guide = |session: u64| Prompt {
         tokens: 715,
         max_output_tokens: 300,
-        parts: vec![Part { id: 7, tokens: 172 }, Part { id: 100 + session, tokens: 543 }],
+        parts: vec![
+            PromptPart { id: 7, tokens: 172 },
+            PromptPart { id: 100 + session, tokens: 543 },
+        ],
     };
     let mut placed_at_target = 0;
     for number in 0..ENTRIES {
@@ -499,11 +505,11 @@
     let endpoints = endpoints(1);
     let mut index = prefix_index::PrefixIndex::default();
     for part in 0..10_000 {
-        index.record_sent(endpoints[0].key, &[Part { id: part, tokens: 10 }], NOW_MS);
+        index.record_sent(endpoints[0].key, &[PromptPart { id: part, tokens: 10 }], NOW_MS);
     }
     let sent = index.take_unsent(usize::MAX);
     assert!(sent.len() <= 2_000, "{}", sent.len());
-    let first = [Part { id: 0, tokens: 10 }];
+    let first = [PromptPart { id: 0, tokens: 10 }];
     assert_eq!(
         index.cached_tokens(endpoints[0].key, &first, NOW_MS),
         10,
