--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -131,7 +131,7 @@
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().record_send(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
-            self.shared.prefix_locations().record_sent(endpoint.key, &prompt.parts, now_ms);
+            self.shared.prefix_index().record_sent(endpoint.key, &prompt.parts, now_ms);
             if must_announce(choice) {
                 self.shared.urgent_update.notify_one();
             }
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -111,7 +111,7 @@
     pub(super) directory: RefCell<directory::Directory>,
     pub(super) evacuations: RefCell<evacuation::Evacuations>,
     /// Zones whose evacuation ended recently, with the time.
-    reinstated_at_ms: RefCell<HashMap<CompactString, u64>>,
+    restored_at_ms: RefCell<HashMap<CompactString, u64>>,
     /// Wakes watches that wait for a store that no longer answers.
     pub(super) store_silent: Notify,
     pub(super) exchange: RefCell<exchange::Exchange>,
@@ -119,7 +119,7 @@
     pub(super) outbox: RefCell<delivery::Outbox>,
     /// Time up to which the counts of each other entry are complete.
     pub(super) watermarks: RefCell<delivery::Watermarks>,
-    pub(super) sharers: Cell<budget::FleetSize>,
+    pub(super) fleet_size: Cell<budget::FleetSize>,
     pub(super) socket: UdpSocket,
     /// Whether this entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
@@ -132,7 +132,7 @@
     /// Whether the store answered the last read of the lease.
     pub(super) is_lease_readable: Cell<bool>,
     /// How far this entry has recovered the state that its peers have from before its start.
-    pub(super) remembered: RefCell<pulls::SoftStatePull>,
+    pub(super) soft_state_pull: RefCell<pulls::SoftStatePull>,
     has_endpoint_list: Cell<bool>,
     /// Number of topics that this process has not listed in the store yet.
     pub(super) topics_to_list: Cell<usize>,
@@ -187,12 +187,12 @@
         exchange: RefCell::new(open_exchange(&shared)),
         outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.billing_window_ms())),
         watermarks: RefCell::default(),
-        sharers: Cell::default(),
+        fleet_size: Cell::default(),
         platform: platform(),
         table: RefCell::default(),
         directory: RefCell::default(),
         evacuations: RefCell::default(),
-        reinstated_at_ms: RefCell::default(),
+        restored_at_ms: RefCell::default(),
         store_silent: Notify::new(),
         socket: UdpSocket::from_std(sockets.udp)?,
         holds_duties: Cell::new(false),
@@ -200,7 +200,7 @@
         relayed_lease: Cell::new(None),
         received_lease: Cell::new(None),
         is_lease_readable: Cell::new(true),
-        remembered: RefCell::default(),
+        soft_state_pull: RefCell::default(),
         has_endpoint_list: Cell::new(false),
         topics_to_list: Cell::new(topics(&shared).len()),
         failing_topics: RefCell::default(),
@@ -326,7 +326,7 @@
         for endpoint in directory.endpoints() {
             let old = before.find(endpoint.key);
             if old.is_some_and(|old| old.started_unix_ms != endpoint.started_unix_ms) {
-                self.shared.prefix_locations().remove_endpoint(endpoint.key);
+                self.shared.prefix_index().remove_endpoint(endpoint.key);
             }
             if old.is_none_or(|old| old != endpoint) {
                 slog::info!(self.log, "endpoint known"; "endpoint" => endpoint.id.as_str(),
@@ -345,7 +345,7 @@
                 "revision" => directory.revision(), "source" => source);
         }
         for old in before.endpoints().iter().filter(|old| directory.find(old.key).is_none()) {
-            self.shared.prefix_locations().remove_endpoint(old.key);
+            self.shared.prefix_index().remove_endpoint(old.key);
             slog::info!(self.log, "endpoint gone"; "endpoint" => old.id.as_str(),
                 "revision" => directory.revision(), "source" => source);
         }
@@ -358,8 +358,8 @@
         let knows_zones = evacuations.is_known() || self.shared.settings.evacuation_ms.is_none();
         let is_ready = table.is_some() && self.has_endpoint_list.get() && knows_zones;
         let directory = Arc::new(self.directory.borrow().clone());
-        let warming = self.warming(table.as_deref(), &directory, self.now_ms());
-        let snapshot = shared::Snapshot { table, directory, evacuations, warming };
+        let cold_endpoints = self.cold_endpoints(table.as_deref(), &directory, self.now_ms());
+        let snapshot = shared::Snapshot { table, directory, evacuations, cold_endpoints };
         self.shared.snapshot.store(Arc::new(snapshot));
         if is_ready && !self.shared.is_ready.swap(true, Ordering::AcqRel) {
             slog::info!(self.log, "ready"; "version" => self.config_version());
--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -29,21 +29,20 @@
                 "revision" => now.revision(), "source" => source);
         }
         for zone in before.zones().filter(|zone| !now.contains(zone)) {
-            self.reinstated_at_ms.borrow_mut().insert(zone.clone(), self.now_ms());
+            self.restored_at_ms.borrow_mut().insert(zone.clone(), self.now_ms());
             slog::info!(self.log, "zone taken back"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
         }
     }
 
     /// Publishes a new snapshot if the cold endpoints or this entry's assignment of them have changed.
-    pub(in crate::gateway) fn update_warming(&self) {
+    pub(in crate::gateway) fn update_cold_endpoints(&self) {
         let now_ms = self.now_ms();
-        self.reinstated_at_ms
-            .borrow_mut()
-            .retain(|_, at_ms| now_ms < *at_ms + warmup::TAKEN_BACK_MS);
+        self.restored_at_ms.borrow_mut().retain(|_, at_ms| now_ms < *at_ms + warmup::RESTORED_MS);
         let known = self.shared.snapshot.load();
-        let warming = self.warming(known.table.as_deref(), &self.directory.borrow(), now_ms);
-        if warming != known.warming {
+        let cold_endpoints =
+            self.cold_endpoints(known.table.as_deref(), &self.directory.borrow(), now_ms);
+        if cold_endpoints != known.cold_endpoints {
             self.publish();
         }
     }
@@ -86,48 +85,48 @@
         let directory = self.directory.borrow();
         self.shared.limits().set_shares(self.now_ms(), |key, rate| {
             let endpoint = directory.find(key);
-            let standing = endpoint.and_then(|one| exchange.standing(key, &one.zone));
-            limits::share(rate, standing)
+            let position = endpoint.and_then(|one| exchange.position(key, &one.zone));
+            limits::share(rate, position)
         });
     }
 
     /// Returns the endpoints that are cold or may be, with the rate that this entry may send to each.
-    pub(super) fn warming(
+    pub(super) fn cold_endpoints(
         &self,
         table: Option<&route::Table>,
         directory: &directory::Directory,
         now_ms: u64,
     ) -> warmup::ColdEndpoints {
-        let mut warming = warmup::ColdEndpoints::default();
+        let mut cold_endpoints = warmup::ColdEndpoints::default();
         let (Some(table), Some(rate)) = (table, self.shared.settings.cold_rate) else {
-            return warming;
+            return cold_endpoints;
         };
-        let reinstated_at_ms = self.reinstated_at_ms.borrow();
+        let restored_at_ms = self.restored_at_ms.borrow();
         // Fast path: this runs on each tick, and usually no endpoint is cold.
-        if reinstated_at_ms.is_empty() && !directory.has_cold(now_ms) {
-            return warming;
+        if restored_at_ms.is_empty() && !directory.has_cold(now_ms) {
+            return cold_endpoints;
         }
         let exchange = self.exchange.borrow();
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
-            let most_per_s =
+            let max_per_s =
                 warmup::max_per_s_per_sender(warm_up.requests_per_s, rate.factor, rate.extra);
             for endpoint in directory.accepting(&service.name) {
-                let reinstated_until_ms =
-                    reinstated_at_ms.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
+                let restored_until_ms =
+                    restored_at_ms.get(&endpoint.zone).map(|at_ms| at_ms + warmup::RESTORED_MS);
                 let Some(until_ms) =
-                    directory.cold_until_ms(endpoint.key, now_ms).max(reinstated_until_ms)
+                    directory.cold_until_ms(endpoint.key, now_ms).max(restored_until_ms)
                 else {
                     continue;
                 };
-                let is_assigned = exchange.is_sole_sender(endpoint.key, &endpoint.zone);
-                let allowed = warmup::ColdLimit {
+                let is_designated = exchange.is_designated_sender(endpoint.key, &endpoint.zone);
+                let limit = warmup::ColdLimit {
                     until_ms,
-                    max_per_s: if is_assigned { most_per_s } else { 0 },
+                    max_per_s: if is_designated { max_per_s } else { 0 },
                 };
-                warming.endpoints.insert(endpoint.key, allowed);
+                cold_endpoints.endpoints.insert(endpoint.key, limit);
             }
         }
-        warming
+        cold_endpoints
     }
 }
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -51,8 +51,8 @@
 /// Returns the work at an endpoint in slots: its requests in progress, or its prompt backlog if that counts
 /// for more.
 #[must_use]
-pub fn busy_slots(work: load::Work, slots: u32, reading: &prefill::PrefillModel) -> f64 {
-    let backlog = reading.prefill_ms(work.unread_tokens) / BUSY_BACKLOG_MS * f64::from(slots);
+pub fn busy_slots(work: load::Work, slots: u32, prefill_model: &prefill::PrefillModel) -> f64 {
+    let backlog = prefill_model.prefill_ms(work.unread_tokens) / BUSY_BACKLOG_MS * f64::from(slots);
     f64::from(work.requests).max(backlog)
 }
 
@@ -192,7 +192,7 @@
             let Some(bounds) = service.scaling else {
                 continue;
             };
-            let reading = control.shared.engine_timing(&service.name);
+            let prefill_model = control.shared.prefill_model(&service.name);
             let zones = by_zone(&directory, &service.name);
             // Rejected requests are at no endpoint; without them the missing ones would never be ordered.
             let rejected = control.shared.rejections().count(&service.name, now_ms);
@@ -202,9 +202,9 @@
                 let live = endpoints.len() as u32;
                 let before = ordered.count(&target).unwrap_or(live);
                 let slots = endpoints.iter().map(|one| one.slots).max().unwrap_or(1);
-                let book = control.shared.load_table();
-                let work = endpoints.iter().map(|one| book.work_at(one.key, now_ms));
-                let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
+                let load_table = control.shared.load_table();
+                let work = endpoints.iter().map(|one| load_table.work_at(one.key, now_ms));
+                let busy: f64 = work.map(|work| busy_slots(work, slots, &prefill_model)).sum();
                 let demand =
                     Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -19,7 +19,7 @@
 impl Eligibility<'_> {
     pub(super) fn allows(&self, endpoint: &directory::Endpoint) -> bool {
         let key = endpoint.key;
-        self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
+        self.cold_sends.has_room(key, &self.snapshot.cold_endpoints, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
             && !self.departures.contains(endpoint)
             && self.backoff.remaining_ms(endpoint, self.now_ms) == 0
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -279,7 +279,11 @@
         };
         let took_ms = self.gateway.now_ms() - response.sent_ms;
         let service = &self.job.service().name;
-        self.gateway.shared.record_prefill(service, response.load_guard.prefill_tokens(), took_ms);
+        self.gateway.shared.observe_first_event(
+            service,
+            response.load_guard.prefill_tokens(),
+            took_ms,
+        );
     }
 
     /// Records that the endpoint of the stream failed.
@@ -341,7 +345,7 @@
             let prompt = self.job.request.prompt.as_ref();
             let output_tokens = prompt.map_or(0, |prompt| prompt.max_output_tokens);
             let service = &self.job.service().name;
-            self.gateway.shared.record_run(service, output_tokens, now_ms - first_ms);
+            self.gateway.shared.observe_run(service, output_tokens, now_ms - first_ms);
         }
         metrics::stream_ended(&self.job.service().name, "whole");
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -33,9 +33,9 @@
     let mut next_counts_ms: u64 = 0;
     loop {
         let wait_ms = next_ms.saturating_sub(control.now_ms());
-        let news = control.shared.urgent_update.notified();
-        let has_urgent_work =
-            wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
+        let urgent_update = control.shared.urgent_update.notified();
+        let has_urgent_work = wait_ms > 0
+            && time::timeout(Duration::from_millis(wait_ms), urgent_update).await.is_ok();
         if has_urgent_work {
             // Until the others know of a long prompt, they consider its engine free, and requests that they
             // send there wait behind it.
@@ -46,10 +46,10 @@
         let now_ms = control.now_ms();
         let local = local_state(&control, now_ms);
         let outgoing = {
-            let mut book = control.shared.load_table();
-            let mut homes = control.shared.prefix_locations();
+            let mut load_table = control.shared.load_table();
+            let mut prefix_index = control.shared.prefix_index();
             let mut exchange = control.exchange.borrow_mut();
-            exchange.tick(now_ms, &local, has_urgent_work, &mut book, &mut homes)
+            exchange.tick(now_ms, &local, has_urgent_work, &mut load_table, &mut prefix_index)
         };
         send_all(&control, outgoing);
         if now_ms >= next_counts_ms {
@@ -58,7 +58,7 @@
         if !has_urgent_work {
             update_entries(&control, now_ms);
             control.update_directory("grace time over", |directory| directory.expire(now_ms));
-            control.update_warming();
+            control.update_cold_endpoints();
             control.update_limit_shares();
         }
     }
@@ -82,7 +82,7 @@
         holds_duties: own.is_some_and(|(lease, _)| lease.left_ms > 0 && !lease.is_over),
         is_stopping: control.shared.is_draining(),
         lease: newest.map(|(lease, at_ms)| lease.after(now_ms - at_ms)),
-        gate: control.shared.gate.ages(now_ms),
+        admission_ages: control.shared.admission.ages(now_ms),
         evacuations: control.evacuations.borrow().snapshot(now_ms),
         limits,
         limits_stamp,
@@ -121,12 +121,12 @@
     let mut exchange = control.exchange.borrow_mut();
     let peers = &mut exchange.peers;
     peers.remove_expired(now_ms);
-    let sharing = peers.budget_sharers(now_ms);
-    control.shared.live_entries.store(sharing, Ordering::Relaxed);
-    let mut sharers = control.sharers.get();
-    let sharing = sharers.observe(sharing, peers.is_settled(now_ms));
-    control.sharers.set(sharers);
-    control.shared.retry_budget_divisor.store(sharing, Ordering::Relaxed);
+    let sharers = peers.budget_sharers(now_ms);
+    control.shared.live_entries.store(sharers, Ordering::Relaxed);
+    let mut fleet_size = control.fleet_size.get();
+    let divisor = fleet_size.observe(sharers, peers.is_settled(now_ms));
+    control.fleet_size.set(fleet_size);
+    control.shared.retry_budget_divisor.store(divisor, Ordering::Relaxed);
     control.shared.serving_peers.store(peers.serving_count(now_ms), Ordering::Relaxed);
     let snapshot = control.shared.snapshot.load();
     let limited = control.shared.limits().count();
@@ -187,25 +187,28 @@
             let new = control.exchange.borrow_mut().peers.merge_roster(&roster, now_ms);
             new.into_iter().for_each(|addr| log_new_peer(control, addr));
         }
-        Message::Placements(placed) => {
-            control.exchange.borrow_mut().forward(placed.hop, &placed.parts);
-            let mut homes = shared.prefix_locations();
-            placed.parts.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
+        Message::Placements(placements) => {
+            control.exchange.borrow_mut().forward(placements.hop, &placements.parts);
+            let mut prefix_index = shared.prefix_index();
+            placements
+                .parts
+                .into_iter()
+                .for_each(|placement| prefix_index.record_remote(placement, now_ms));
         }
         Message::Limits(limits) => control.apply_peer_limits(&limits, now_ms),
         Message::Departures(departures) => control.apply_peer_departures(&departures, now_ms),
         Message::Counts { from, counts } => {
             shared.tally().merge(counts.boot, &counts.counts);
-            let receipt = control.watermarks.borrow_mut().receive(&counts, shared.boot);
+            let ack = control.watermarks.borrow_mut().receive(&counts, shared.boot);
             let message = Message::CountsAck {
                 from: shared.settings.peer_addr(),
                 receiver_boot: shared.boot,
-                receipt,
+                ack,
             };
             send_all(control, vec![Outgoing { to: vec![from], message }]);
         }
-        Message::CountsAck { from, receiver_boot, receipt } => {
-            control.outbox.borrow_mut().acknowledge(from, receiver_boot, receipt);
+        Message::CountsAck { from, receiver_boot, ack } => {
+            control.outbox.borrow_mut().acknowledge(from, receiver_boot, ack);
         }
     }
 }
@@ -216,7 +219,7 @@
 
 fn handle_state<P: Platform + 'static>(control: &Rc<Control<P>>, state: &State, now_ms: u64) {
     let shared = &control.shared;
-    shared.gate.merge_ages(state.gate, now_ms);
+    shared.admission.merge_ages(state.admission_ages, now_ms);
     control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(lease) = state.lease.filter(|lease| lease.boot != shared.boot) {
         let newer = |(known, _): (lease::Told, u64)| known.version <= lease.version;
@@ -238,7 +241,7 @@
         directory_revision: state.directory_revision,
     };
     let is_older = state.age_ms > shared.time.age_ms();
-    if is_older && control.remembered.borrow_mut().try_begin() {
+    if is_older && control.soft_state_pull.borrow_mut().try_begin() {
         task::spawn_local(pulls::pull_soft_state(Rc::clone(control), state.from));
     }
     // An entry that has just started lists everything at the store itself and would receive it twice.
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -47,7 +47,7 @@
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
-    pub gate: admission::Ages,
+    pub admission_ages: admission::Ages,
     pub evacuations: evacuation::Snapshot,
     pub limits: Vec<limits::LimitUpdate>,
     /// Stamp of the newest change of an endpoint's limit.
@@ -141,7 +141,7 @@
     rejoining_until_ms: u64,
     /// Since when this entry has continuously aggregated or had an aggregator.
     joined_since_ms: Option<u64>,
-    keepers: warmup::DesignatedSenders,
+    designated_senders: warmup::DesignatedSenders,
     /// Since when this entry has aggregated.
     aggregating_since_ms: Option<u64>,
     last: LastSent,
@@ -169,7 +169,7 @@
             last_heard_ms: 0,
             rejoining_until_ms: 0,
             joined_since_ms: None,
-            keepers: warmup::DesignatedSenders::default(),
+            designated_senders: warmup::DesignatedSenders::default(),
             aggregating_since_ms: None,
             last: LastSent::default(),
             last_work: Vec::new(),
@@ -204,19 +204,19 @@
     /// far as it knows. An entry that has just joined may not know others that consider themselves the only
     /// one.
     #[must_use]
-    pub fn is_sole_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
-        self.keepers.is_designated(self.identity.addr, endpoint, zone)
+    pub fn is_designated_sender(&self, endpoint: directory::EndpointKey, zone: &str) -> bool {
+        self.designated_senders.is_designated(self.identity.addr, endpoint, zone)
     }
 
     /// Returns the rank of this entry among those that may send to an endpoint of this zone, or `None` if it
     /// does not know the others.
     #[must_use]
-    pub fn standing(
+    pub fn position(
         &self,
         endpoint: directory::EndpointKey,
         zone: &str,
     ) -> Option<warmup::Position> {
-        self.keepers.position(self.identity.addr, endpoint, zone)
+        self.designated_senders.position(self.identity.addr, endpoint, zone)
     }
 
     fn update_warmup_candidates(&mut self, now_ms: u64) {
@@ -226,7 +226,7 @@
         let has_quorum = self.peers.has_quorum(now_ms);
         let candidates =
             if is_known { self.peers.warmup_candidates(has_quorum, now_ms) } else { Vec::new() };
-        self.keepers.observe(candidates, has_quorum, now_ms);
+        self.designated_senders.observe(candidates, has_quorum, now_ms);
     }
 
     /// Returns the messages to send now. With `has_urgent_work`, load was added that others have to know at
@@ -236,8 +236,8 @@
         now_ms: u64,
         local: &LocalState,
         has_urgent_work: bool,
-        book: &mut load::LoadTable,
-        homes: &mut prefix_index::PrefixIndex,
+        load_table: &mut load::LoadTable,
+        prefix_index: &mut prefix_index::PrefixIndex,
     ) -> Vec<Outgoing> {
         if self.last.tick_ms > 0 && now_ms >= self.last.tick_ms + AGGREGATOR_TIMEOUT_MS {
             self.rejoining_until_ms = now_ms + REJOIN_MS;
@@ -257,19 +257,19 @@
         self.update_warmup_candidates(now_ms);
         let is_handover =
             aggregating_since_ms.is_some_and(|since_ms| now_ms < since_ms + HANDOVER_MS);
-        book.set_aggregated(role == Role::Member || is_handover);
-        book.sweep(now_ms);
+        load_table.set_aggregated(role == Role::Member || is_handover);
+        load_table.sweep(now_ms);
         let mut out = Vec::new();
         self.send_state(now_ms, local, role, &mut out);
         match role {
             Role::Aggregator => {
-                self.send_sums(now_ms, is_handover, book, &mut out);
+                self.send_sums(now_ms, is_handover, load_table, &mut out);
                 self.send_rosters(now_ms, &mut out);
-                self.queue_placements(homes);
+                self.queue_placements(prefix_index);
             }
             Role::Member | Role::Joining => {
-                self.send_work(now_ms, has_urgent_work, book, &mut out);
-                self.send_placements(role, homes, &mut out);
+                self.send_work(now_ms, has_urgent_work, load_table, &mut out);
+                self.send_placements(role, prefix_index, &mut out);
             }
         }
         // In every role: another entry may have taken this one for an aggregator.
@@ -325,7 +325,7 @@
     }
 
     /// Processes part of a load table.
-    pub fn handle_work(&mut self, work: &Work, book: &mut load::LoadTable, now_ms: u64) {
+    pub fn handle_work(&mut self, work: &Work, load_table: &mut load::LoadTable, now_ms: u64) {
         match &work.source {
             load::Source::Others => {
                 if self.peers.outranks_own(work.from) {
@@ -338,6 +338,6 @@
             }
             load::Source::Entry(_) => {}
         }
-        book.apply(work.source.clone(), work.origin, &work.rows, now_ms);
+        load_table.apply(work.source.clone(), work.origin, &work.rows, now_ms);
     }
 }
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -131,7 +131,7 @@
             is_aggregating: role == Role::Aggregator,
             live: u16::try_from(self.peers.live_count(now_ms)).unwrap_or(u16::MAX),
             lease: local.lease,
-            gate: local.gate,
+            admission_ages: local.admission_ages,
             evacuations: local.evacuations.clone(),
         }
     }
@@ -140,18 +140,18 @@
         &mut self,
         now_ms: u64,
         has_urgent_work: bool,
-        book: &mut load::LoadTable,
+        load_table: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         let is_due = now_ms >= self.last.work_ms + WORK_MS;
         if !is_due && !has_urgent_work {
             return;
         }
-        let rows = book.rows();
+        let rows = load_table.rows();
         let is_old = now_ms >= self.last.work_ms + UNCHANGED_MS;
-        let news = book.take_updates(MAX_ROWS);
+        let updates = load_table.take_updates(MAX_ROWS);
         let tables = if !is_due {
-            vec![load::Rows::update(news)]
+            vec![load::Rows::update(updates)]
         } else if rows != self.last_work || is_old {
             self.last.work_ms = now_ms;
             self.last_work.clone_from(&rows);
@@ -183,23 +183,23 @@
         &mut self,
         now_ms: u64,
         is_handover: bool,
-        book: &mut load::LoadTable,
+        load_table: &mut load::LoadTable,
         out: &mut Vec<Outgoing>,
     ) {
         if now_ms < self.last.sums_round_ms + SUMS_MS {
             return;
         }
         self.last.sums_round_ms = now_ms;
-        book.take_updates(0);
-        // The book has no table for this entry's own boot, so nothing is subtracted from the sums.
-        let (_, sums) = book.table_excluding(self.identity.boot, now_ms);
+        load_table.take_updates(0);
+        // There is no table for this entry's own boot, so nothing is subtracted from the sums.
+        let (_, sums) = load_table.table_excluding(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
         self.is_zone_sum_due |= is_changed;
         if self.is_zone_sum_due && now_ms >= self.last.remote_sums_ms + REMOTE_SUMS_MS {
             self.is_zone_sum_due = false;
             self.last.remote_sums_ms = now_ms;
-            let (origin, rows) = book.zone_table(now_ms);
+            let (origin, rows) = load_table.zone_table(now_ms);
             let source = load::Source::Zone(self.identity.zone.clone());
             let to = self.other_zones(now_ms);
             self.push_work(&to, &source, origin, load::Rows::split(&rows, MAX_ROWS), out);
@@ -210,7 +210,7 @@
         self.last.sums_ms = now_ms;
         self.last_sums = sums;
         for (addr, boot) in self.peers.members(now_ms) {
-            let (origin, rows) = book.table_excluding(boot, now_ms);
+            let (origin, rows) = load_table.table_excluding(boot, now_ms);
             let tables = load::Rows::split(&rows, MAX_ROWS);
             self.push_work(&[addr], &load::Source::Others, origin, tables, out);
         }
@@ -235,20 +235,20 @@
     }
 
     /// Queues the placements that an aggregator has made itself.
-    pub(super) fn queue_placements(&mut self, homes: &mut prefix_index::PrefixIndex) {
+    pub(super) fn queue_placements(&mut self, prefix_index: &mut prefix_index::PrefixIndex) {
         for _ in 0..MAX_PLACEMENT_MESSAGES {
-            let placed = homes.take_unsent(MAX_PLACEMENTS);
-            if placed.is_empty() {
+            let placements = prefix_index.take_unsent(MAX_PLACEMENTS);
+            if placements.is_empty() {
                 return;
             }
-            self.forward(Hop::OwnAggregator, &placed);
+            self.forward(Hop::OwnAggregator, &placements);
         }
     }
 
     pub(super) fn send_placements(
         &self,
         role: Role,
-        homes: &mut prefix_index::PrefixIndex,
+        prefix_index: &mut prefix_index::PrefixIndex,
         out: &mut Vec<Outgoing>,
     ) {
         let aggregator = self.aggregator.map(|(addr, _)| addr).filter(|_| role == Role::Member);
@@ -257,7 +257,7 @@
             None => (Hop::Final, self.peers.random_peers()),
         };
         for _ in 0..MAX_PLACEMENT_MESSAGES {
-            let parts = homes.take_unsent(MAX_PLACEMENTS);
+            let parts = prefix_index.take_unsent(MAX_PLACEMENTS);
             if parts.is_empty() {
                 return;
             }
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -36,7 +36,7 @@
     pub live: u16,
     /// Newest information on the lease of the duties that was received from its holder.
     pub lease: Option<lease::Told>,
-    pub gate: admission::Ages,
+    pub admission_ages: admission::Ages,
     pub evacuations: evacuation::Snapshot,
 }
 
@@ -103,7 +103,7 @@
     CountsAck {
         from: SocketAddr,
         receiver_boot: u64,
-        receipt: delivery::CountAck,
+        ack: delivery::CountAck,
     },
 }
 
--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -56,7 +56,7 @@
     let (large, small): (Vec<_>, Vec<_>) =
         parts.into_iter().partition(|part| part.tokens >= MIN_SENT_TOKENS);
     let now_ms = control.now_ms();
-    let mut homes = control.shared.prefix_locations();
-    homes.record_sent(engine.key, &large, now_ms);
-    homes.record_cached(engine.key, &small, now_ms);
+    let mut prefix_index = control.shared.prefix_index();
+    prefix_index.record_sent(engine.key, &large, now_ms);
+    prefix_index.record_cached(engine.key, &small, now_ms);
 }
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -50,7 +50,7 @@
 /// without the counts of entries that have ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SoftState {
-    placed: Vec<prefix_index::Placement>,
+    placements: Vec<prefix_index::Placement>,
     counts: BTreeMap<u64, tally::Counts>,
 }
 
@@ -174,7 +174,7 @@
                 false
             }
         };
-    control.remembered.borrow_mut().finish(is_received);
+    control.soft_state_pull.borrow_mut().finish(is_received);
 }
 
 /// Merges the billing counts that these peers store of all entries. Peers that do not answer in time are
@@ -200,9 +200,12 @@
 fn merge_soft_state<P>(control: &Control<P>, soft_state: SoftState, from: SocketAddr) {
     let now_ms = control.now_ms();
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
-        "parts" => soft_state.placed.len(), "starts" => soft_state.counts.len());
-    let mut homes = control.shared.prefix_locations();
-    soft_state.placed.into_iter().for_each(|placed| homes.record_remote(placed, now_ms));
+        "parts" => soft_state.placements.len(), "starts" => soft_state.counts.len());
+    let mut prefix_index = control.shared.prefix_index();
+    soft_state
+        .placements
+        .into_iter()
+        .for_each(|placement| prefix_index.record_remote(placement, now_ms));
     control.shared.tally().merge_all(soft_state.counts);
 }
 
@@ -264,13 +267,13 @@
 }
 
 fn soft_state<P>(control: &Control<P>, scope: SoftStateScope) -> Option<SoftState> {
-    let placed = match scope {
+    let placements = match scope {
         SoftStateScope::Nothing => return None,
         SoftStateScope::Counts => Vec::new(),
-        SoftStateScope::All => control.shared.prefix_locations().most_recent(MAX_PLACEMENTS),
+        SoftStateScope::All => control.shared.prefix_index().most_recent(MAX_PLACEMENTS),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
-    Some(SoftState { placed, counts })
+    Some(SoftState { placements, counts })
 }
 
 async fn respond<P>(control: &Control<P>, mut stream: TcpStream) -> anyhow::Result<()> {
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -45,7 +45,7 @@
     /// The request has been counted for its account's bill.
     pub(super) is_billed: bool,
     /// Held while a send may still prove to have run, and so have to be billed.
-    pub(super) pending_billing: Option<shared::PendingCount>,
+    pub(super) pending_count: Option<shared::PendingCount>,
     pub(super) _active: ActiveGuard,
 }
 
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -69,7 +69,7 @@
     metrics::gauge!("briarwinch_gateway_endpoints")
         .set(snapshot.directory.endpoints().len() as f64);
     metrics::gauge!("briarwinch_gateway_endpoints_cold")
-        .set(snapshot.warming.endpoints.len() as f64);
+        .set(snapshot.cold_endpoints.endpoints.len() as f64);
     metrics::gauge!("briarwinch_gateway_endpoints_limited").set(limited as f64);
     metrics::gauge!("briarwinch_gateway_endpoints_leaving").set(leaving as f64);
     metrics::gauge!("briarwinch_gateway_zones_evacuated")
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -67,7 +67,9 @@
         log: slog::Logger,
     ) -> Rc<Self> {
         let gateway = Rc::new(Self {
-            budgets: RefCell::new(budget::RetryBudgets::new(shared.settings.retries.allowed())),
+            budgets: RefCell::new(budget::RetryBudgets::new(
+                shared.settings.retries.budget_config(),
+            )),
             shared,
             protocol,
             pool: RefCell::default(),
@@ -98,7 +100,7 @@
         let now_ms = gateway.now_ms();
         gateway.pool.borrow_mut().sweep(now_ms);
         gateway.shared.load_table().sweep(now_ms);
-        gateway.budgets.borrow_mut().set(gateway.shared.retries().allowed());
+        gateway.budgets.borrow_mut().set(gateway.shared.retries().budget_config());
         let snapshot = gateway.shared.snapshot.load();
         let is_known = |endpoint| snapshot.directory.find(endpoint).is_some();
         gateway.health.borrow_mut().retain(is_known);
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -70,18 +70,18 @@
     pub load_table: &'a load::LoadTable,
     pub prefix_index: &'a prefix_index::PrefixIndex,
     pub health: &'a health::Health,
-    pub prefill: &'a prefill::PrefillModel,
+    pub prefill_model: &'a prefill::PrefillModel,
     pub pauses: &'a pauses::Pauses,
     /// Longest pause between events that is in time for the client; zero if there is no limit.
     pub pause_limit_ms: u32,
     pub zone: &'a str,
     pub now_ms: u64,
     /// Latency target of the first event.
-    pub target_ms: f64,
+    pub latency_target_ms: f64,
     /// How long the client waits for a first event.
     pub max_wait_ms: f64,
     /// Zones of the endpoints that refused this request a connection, one item per endpoint.
-    pub refused_zones: &'a [CompactString],
+    pub unreachable_zones: &'a [CompactString],
 }
 
 /// An endpoint and the expected effect of choosing it.
@@ -112,7 +112,7 @@
     let is_open = |one: &&Endpoint| !inputs.health.is_avoided(one.key, inputs.now_ms);
     let open: Vec<&Endpoint> = all.iter().copied().filter(is_open).collect();
     let mut candidates = if open.is_empty() { all } else { open };
-    exclude_lost_zones(&mut candidates, inputs.refused_zones);
+    exclude_lost_zones(&mut candidates, inputs.unreachable_zones);
     // The order decides between equal costs. It is random, since otherwise all entries would choose
     // the same endpoint.
     candidates.shuffle(random);
@@ -124,9 +124,9 @@
 
 /// Excludes the endpoints of zones that seem lost, unless there are no others. The idle endpoints
 /// of a lost zone look best, and a request would try them one after the other.
-fn exclude_lost_zones(candidates: &mut Vec<&Endpoint>, refused_zones: &[CompactString]) {
+fn exclude_lost_zones(candidates: &mut Vec<&Endpoint>, unreachable_zones: &[CompactString]) {
     let is_lost = |one: &&Endpoint| {
-        refused_zones.iter().filter(|zone| **zone == one.zone).count() >= LOST_ZONE_REFUSALS
+        unreachable_zones.iter().filter(|zone| **zone == one.zone).count() >= LOST_ZONE_REFUSALS
     };
     if !candidates.iter().all(is_lost) {
         candidates.retain(|one| !is_lost(one));
@@ -177,8 +177,9 @@
     let is_free = |one: &&&Endpoint| {
         let work = inputs.load_table.work_at(one.key, inputs.now_ms);
         let slot_wait_ms =
-            inputs.prefill.slot_wait_ms(occupied_slots(one, work, inputs), engine.slots);
-        slot_wait_ms + inputs.prefill.prefill_ms(work.unread_tokens) <= admission::FREE_WAIT_MS
+            inputs.prefill_model.slot_wait_ms(occupied_slots(one, work, inputs), engine.slots);
+        slot_wait_ms + inputs.prefill_model.prefill_ms(work.unread_tokens)
+            <= admission::FREE_WAIT_MS
     };
     let free = candidates.iter().filter(is_free).count();
     free as f64 / candidates.len().max(1) as f64
@@ -224,14 +225,16 @@
     let missing_tokens = shared_tokens.saturating_sub(has_tokens);
     let document_tokens =
         prompt.shared_parts().last().map_or(0, |part| part.tokens).min(missing_tokens);
-    let document_ms = inputs.prefill.prefill_ms(u64::from(document_tokens));
-    let common_prefix_ms = inputs.prefill.prefill_ms(u64::from(missing_tokens - document_tokens));
+    let document_ms = inputs.prefill_model.prefill_ms(u64::from(document_tokens));
+    let common_prefix_ms =
+        inputs.prefill_model.prefill_ms(u64::from(missing_tokens - document_tokens));
     let concurrency_ms = f64::from(work.requests) * PER_REQUEST_MS
-        + inputs.prefill.slot_wait_ms(occupied_slots(endpoint, work, inputs), engine.slots);
-    let first_ms = inputs.prefill.first_event_ms(work.unread_tokens + u64::from(unread_tokens))
-        + concurrency_ms;
+        + inputs.prefill_model.slot_wait_ms(occupied_slots(endpoint, work, inputs), engine.slots);
+    let first_ms =
+        inputs.prefill_model.first_event_ms(work.unread_tokens + u64::from(unread_tokens))
+            + concurrency_ms;
     let timeout_risk_ms = (first_ms - inputs.max_wait_ms * TIMEOUT_SHARE).max(0.0);
-    let late_ms = (first_ms - inputs.target_ms * LATE_SHARE).max(0.0);
+    let late_ms = (first_ms - inputs.latency_target_ms * LATE_SHARE).max(0.0);
     let mut cost_ms = first_ms
         + late_ms * LATE_WEIGHT
         + timeout_risk_ms * TIMEOUT_WEIGHT
--- a/src/gateway/policy/prefix_index.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -91,9 +91,9 @@
     }
 
     /// Records a placement sent by another entry.
-    pub fn record_remote(&mut self, placed: Placement, now_ms: u64) {
-        let location = Location { endpoint: placed.endpoint, used_ms: now_ms, sent_ms: now_ms };
-        self.insert(placed.part.id(), location);
+    pub fn record_remote(&mut self, placement: Placement, now_ms: u64) {
+        let location = Location { endpoint: placement.endpoint, used_ms: now_ms, sent_ms: now_ms };
+        self.insert(placement.part.id(), location);
     }
 
     /// Returns the placements that were used last, at most `most`, for an entry that has just
--- a/src/gateway/policy/warmup.rs
+++ b/src/gateway/policy/warmup.rs
@@ -30,9 +30,9 @@
 /// An endpoint that refused a connection may have restarted and be cold; the store shows that only
 /// after its next heartbeat.
 const SUSPECT_MS: u64 = 2_000;
-/// When an availability zone is taken back into service, its endpoints may have turned cold just
+/// When an availability zone is restored to service, its endpoints may have turned cold just
 /// before; that information arrives by another path.
-pub const TAKEN_BACK_MS: u64 = 1_000;
+pub const RESTORED_MS: u64 = 1_000;
 
 /// Returns how many requests per second one sender may send to a cold endpoint of a service with
 /// this cold rate.
@@ -54,7 +54,7 @@
 struct View {
     candidates: Vec<Candidate>,
     /// Whether this entry heard at least half of the entries that it knew.
-    hears_half: bool,
+    has_quorum: bool,
     until_ms: u64,
 }
 
@@ -102,12 +102,12 @@
 
 impl DesignatedSenders {
     /// Records the current candidates; empty while this entry does not know the others.
-    pub fn observe(&mut self, candidates: Vec<Candidate>, hears_half: bool, now_ms: u64) {
+    pub fn observe(&mut self, candidates: Vec<Candidate>, has_quorum: bool, now_ms: u64) {
         let is_same =
-            |last: &&mut View| last.hears_half == hears_half && last.candidates == candidates;
+            |last: &&mut View| last.has_quorum == has_quorum && last.candidates == candidates;
         match self.views.back_mut().filter(is_same) {
             Some(last) => last.until_ms = now_ms,
-            None => self.views.push_back(View { candidates, hears_half, until_ms: now_ms }),
+            None => self.views.push_back(View { candidates, has_quorum, until_ms: now_ms }),
         }
         while self.views.len() > 1 && now_ms >= self.views[0].until_ms + WINDOW_MS {
             self.views.pop_front();
@@ -129,7 +129,7 @@
     /// Returns whether this entry has been the sender of an endpoint throughout the recent views.
     #[must_use]
     pub fn is_designated(&self, own: SocketAddr, endpoint: EndpointKey, zone: &str) -> bool {
-        let is_sender = |view: &View| view.hears_half && view.sender(endpoint, zone) == Some(own);
+        let is_sender = |view: &View| view.has_quorum && view.sender(endpoint, zone) == Some(own);
         !self.views.is_empty() && self.views.iter().all(is_sender)
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -98,7 +98,7 @@
             let output_tokens =
                 request.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
             let run_ms =
-                self.shared.engine_timing(&table.service(service).name).run_ms(output_tokens);
+                self.shared.prefill_model(&table.service(service).name).run_ms(output_tokens);
             if self.shared.delays_stop(run_ms) {
                 return Err(refuse(error::Kind::Draining).retry_after_ms(DRAINING_RETRY_MS));
             }
@@ -123,7 +123,7 @@
             reached_endpoint: false,
             may_have_run: false,
             is_billed: false,
-            pending_billing: None,
+            pending_count: None,
             _active: ActiveGuard::begin(&self.shared),
             table,
         })
@@ -173,7 +173,7 @@
             let is_first = !job.reached_endpoint && failed_connects == 0;
             if is_first
                 && job.request.prompt.is_some()
-                && !self.shared.gate.admit(
+                && !self.shared.admission.admit(
                     job.priority,
                     job.route().priority,
                     choice.free_share,
@@ -192,7 +192,7 @@
             let timeout = job.response_timeout(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
             if !job.kind.is_stream() && job.account.is_some() && !job.is_billed {
-                job.pending_billing = Some(self.shared.begin_pending_count());
+                job.pending_count = Some(self.shared.begin_pending_count());
             }
             let failure = match self.attempt(job, &choice, timeout).await {
                 Ok(response) => {
@@ -206,7 +206,7 @@
             self.log_failure(job, &choice, &failure);
             match failure {
                 Failure::NotSent(_) => {
-                    job.pending_billing = None;
+                    job.pending_count = None;
                     job.attempts -= 1;
                     job.unreachable_zones.push(choice.endpoint.zone.clone());
                     failed_connects += 1;
@@ -218,16 +218,16 @@
                     // The endpoint may take this request later, once it has warmed up or its zone is back in
                     // service.
                     job.tried_endpoints.pop();
-                    job.pending_billing = None;
+                    job.pending_count = None;
                     job.attempts -= 1;
                 }
                 Failure::WrongEndpoint => {
                     // The request did not run, so it does not count against the route's attempts.
                     job.attempts -= 1;
-                    job.pending_billing = None;
+                    job.pending_count = None;
                     self.mark_misdirected(choice.endpoint);
                 }
-                Failure::NotRun { .. } => job.pending_billing = None,
+                Failure::NotRun { .. } => job.pending_count = None,
                 Failure::Unknown(_) => {
                     job.may_have_run = true;
                     // A stream is billed from its first event on, and none has arrived.
@@ -255,9 +255,9 @@
     /// Whether a retry is allowed; takes it from the shared retry budget.
     fn take_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
+        let divisor = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
-            && self.budgets.borrow_mut().try_spend(&job.service().name, sharers, now_ms)
+            && self.budgets.borrow_mut().try_spend(&job.service().name, divisor, now_ms)
     }
 
     /// Chooses an endpoint among the eligible ones that have not been tried.
@@ -272,22 +272,22 @@
         let candidates = snapshot
             .accepting(&service.name, job.evacuation_key(), now_ms)
             .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.allows(one));
-        let book = self.shared.load_table();
-        let homes = self.shared.prefix_locations();
+        let load_table = self.shared.load_table();
+        let prefix_index = self.shared.prefix_index();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
         let known = choose::Inputs {
-            load_table: &book,
-            prefix_index: &homes,
+            load_table: &load_table,
+            prefix_index: &prefix_index,
             health: &health,
             pauses: &pauses,
             pause_limit_ms: job.route().gap_target_ms,
             zone: &self.shared.settings.zone,
             now_ms,
-            target_ms: f64::from(job.route().latency_target_ms),
+            latency_target_ms: f64::from(job.route().latency_target_ms),
             max_wait_ms: job.stream_timeout_ms() as f64,
-            refused_zones: &job.unreachable_zones,
-            prefill: &self.shared.engine_timing(&service.name),
+            unreachable_zones: &job.unreachable_zones,
+            prefill_model: &self.shared.prefill_model(&service.name),
         };
         choose::choose(
             candidates,
@@ -348,10 +348,10 @@
     /// failure that the endpoint returned.
     fn can_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
+        let divisor = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         let snapshot = self.shared.snapshot.load();
         job.has_attempt_left(now_ms)
-            && self.budgets.borrow_mut().has_room(&job.service().name, sharers, now_ms)
+            && self.budgets.borrow_mut().has_room(&job.service().name, divisor, now_ms)
             && self.choose_endpoint(&snapshot, job).is_some()
     }
 
@@ -361,7 +361,7 @@
             self.shared.count(account, self.now_ms().saturating_sub(began_ms));
             job.is_billed = true;
         }
-        job.pending_billing = None;
+        job.pending_count = None;
     }
 
     /// The refusal that ends a request without a response of an endpoint.
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -22,7 +22,7 @@
 impl Retries {
     /// Converts the settings to the form that the retry budget uses.
     #[must_use]
-    pub fn allowed(&self) -> budget::BudgetConfig {
+    pub fn budget_config(&self) -> budget::BudgetConfig {
         budget::BudgetConfig {
             ratio: self.ratio,
             extra: self.extra,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -20,7 +20,7 @@
     pub table: Option<Arc<route::Table>>,
     pub directory: Arc<directory::Directory>,
     pub evacuations: evacuation::Evacuations,
-    pub warming: warmup::ColdEndpoints,
+    pub cold_endpoints: warmup::ColdEndpoints,
 }
 
 impl Snapshot {
@@ -77,7 +77,7 @@
     /// Number of requests in flight in this entry.
     pub active: AtomicU32,
     /// Admission control: rejects prompts while almost no engine capacity is free.
-    pub gate: admission::AdmissionControl,
+    pub admission: admission::AdmissionControl,
     /// Wakes the control thread to send an update to the other entries at once, for example after a long
     /// prompt was sent.
     pub urgent_update: Notify,
@@ -87,12 +87,12 @@
     rejections: Mutex<load::Rejections>,
     limits: Mutex<limits::Limits>,
     departures: Mutex<departures::Departures>,
-    prefix_locations: Mutex<prefix_index::PrefixIndex>,
+    prefix_index: Mutex<prefix_index::PrefixIndex>,
     tally: Mutex<tally::Tally>,
     /// Start times, on the boot clock, of sends whose requests may still be counted.
     pending_counts: Mutex<slab::Slab<u64>>,
     /// Measured prefill speed and run times of the engines, by service.
-    engine_timings: Mutex<HashMap<CompactString, prefill::PrefillModel>>,
+    prefill_models: Mutex<HashMap<CompactString, prefill::PrefillModel>>,
 }
 
 impl Shared {
@@ -116,15 +116,15 @@
             serving_peers: AtomicUsize::new(0),
             last_request_ms: AtomicU64::new(0),
             active: AtomicU32::new(0),
-            gate: admission::AdmissionControl::default(),
+            admission: admission::AdmissionControl::default(),
             load_table: Mutex::default(),
             rejections: Mutex::default(),
             limits: Mutex::default(),
             departures: Mutex::default(),
-            prefix_locations: Mutex::default(),
+            prefix_index: Mutex::default(),
             tally: Mutex::default(),
             pending_counts: Mutex::default(),
-            engine_timings: Mutex::default(),
+            prefill_models: Mutex::default(),
         }
     }
 
@@ -149,8 +149,8 @@
     }
 
     /// Locks the index of which endpoints hold which prompt parts in their prefix cache.
-    pub fn prefix_locations(&self) -> MutexGuard<'_, prefix_index::PrefixIndex> {
-        lock(&self.prefix_locations)
+    pub fn prefix_index(&self) -> MutexGuard<'_, prefix_index::PrefixIndex> {
+        lock(&self.prefix_index)
     }
 
     /// Locks the current retry settings.
@@ -165,21 +165,21 @@
 
     /// Returns the prefill speed and run times of a service's engines, as measured by this entry.
     #[must_use]
-    pub fn engine_timing(&self, service: &str) -> prefill::PrefillModel {
-        lock(&self.engine_timings).get(service).copied().unwrap_or_default()
+    pub fn prefill_model(&self, service: &str) -> prefill::PrefillModel {
+        lock(&self.prefill_models).get(service).copied().unwrap_or_default()
     }
 
     /// Records a response whose first event came after `took_ms`, with `tokens` to prefill before it.
-    pub fn record_prefill(&self, service: &CompactString, tokens: u64, took_ms: u64) {
-        lock(&self.engine_timings)
+    pub fn observe_first_event(&self, service: &CompactString, tokens: u64, took_ms: u64) {
+        lock(&self.prefill_models)
             .entry(service.clone())
             .or_default()
             .observe_first_event(tokens, took_ms);
     }
 
     /// Records the run time of a completed stream.
-    pub fn record_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
-        lock(&self.engine_timings)
+    pub fn observe_run(&self, service: &CompactString, output_tokens: u32, ran_ms: u64) {
+        lock(&self.prefill_models)
             .entry(service.clone())
             .or_default()
             .observe_run(output_tokens, ran_ms);
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -40,7 +40,7 @@
     load_table: load::LoadTable,
     prefix_index: prefix_index::PrefixIndex,
     health: health::Health,
-    prefill: prefill::PrefillModel,
+    prefill_model: prefill::PrefillModel,
     pauses: pauses::Pauses,
 }
 
@@ -50,13 +50,13 @@
             load_table: &self.load_table,
             prefix_index: &self.prefix_index,
             health: &self.health,
-            prefill: &self.prefill,
+            prefill_model: &self.prefill_model,
             pauses: &self.pauses,
             pause_limit_ms: 120,
             zone: "a",
             now_ms: NOW_MS,
-            target_ms: TARGET_MS,
-            refused_zones: &[],
+            latency_target_ms: TARGET_MS,
+            unreachable_zones: &[],
             max_wait_ms: MAX_WAIT_MS,
         }
     }
@@ -190,7 +190,7 @@
     let mut random = StdRng::seed_from_u64(8);
     entry.prefix_index.record_sent(endpoints[3].key, &draft(0).parts, NOW_MS);
     entry.load_table.add(endpoints[3].key, work(60_000), NOW_MS);
-    let inputs = Inputs { target_ms: 600.0, ..entry.inputs() };
+    let inputs = Inputs { latency_target_ms: 600.0, ..entry.inputs() };
     let chosen =
         choose::choose(endpoints.iter(), Some(&ENGINE), Some(&draft(0)), &inputs, &mut random);
     assert_ne!(chosen.expect("an endpoint").endpoint.key, endpoints[3].key);
@@ -335,11 +335,15 @@
 
 #[test]
 fn slot_wait_grows_with_the_requests_that_must_end_first() {
-    let mut prefill = prefill::PrefillModel::default();
-    (0..400).for_each(|_| prefill.observe_run(640, 6_400));
-    assert!(prefill.slot_wait_ms(55, 64).abs() < 1e-9, "the last eighth is kept free");
-    assert!(prefill.run_ms(640).abs_diff(6_400) < 50, "{}", prefill.run_ms(640));
-    assert!((prefill.slot_wait_ms(59, 64) - 400.0).abs() < 5.0, "{}", prefill.slot_wait_ms(59, 64));
+    let mut prefill_model = prefill::PrefillModel::default();
+    (0..400).for_each(|_| prefill_model.observe_run(640, 6_400));
+    assert!(prefill_model.slot_wait_ms(55, 64).abs() < 1e-9, "the last eighth is kept free");
+    assert!(prefill_model.run_ms(640).abs_diff(6_400) < 50, "{}", prefill_model.run_ms(640));
+    assert!(
+        (prefill_model.slot_wait_ms(59, 64) - 400.0).abs() < 5.0,
+        "{}",
+        prefill_model.slot_wait_ms(59, 64)
+    );
 }
 
 #[test]
@@ -389,7 +393,7 @@
     let mut random = StdRng::seed_from_u64(5);
     let entry = Entry::default();
     let plain = |refused: &[CompactString], endpoints: &[Endpoint], random: &mut StdRng| {
-        let inputs = Inputs { refused_zones: refused, ..entry.inputs() };
+        let inputs = Inputs { unreachable_zones: refused, ..entry.inputs() };
         let choice = choose::choose(endpoints.iter(), None, None, &inputs, random);
         choice.expect("an endpoint").endpoint.zone.clone()
     };
@@ -466,15 +470,19 @@
 
 #[test]
 fn prefill_speed_is_fitted_to_answers() {
-    let mut prefill = prefill::PrefillModel::default();
+    let mut prefill_model = prefill::PrefillModel::default();
     for _ in 0..200 {
-        prefill.observe_first_event(10_000, 50 + 300);
+        prefill_model.observe_first_event(10_000, 50 + 300);
     }
-    assert!((prefill.prefill_ms(10_000) - 300.0).abs() < 15.0, "{}", prefill.prefill_ms(10_000));
-    let before = prefill.prefill_ms(10_000);
-    prefill.observe_first_event(10_000, 60_000);
     assert!(
-        (prefill.prefill_ms(10_000) - before).abs() < 1.0,
+        (prefill_model.prefill_ms(10_000) - 300.0).abs() < 15.0,
+        "{}",
+        prefill_model.prefill_ms(10_000)
+    );
+    let before = prefill_model.prefill_ms(10_000);
+    prefill_model.observe_first_event(10_000, 60_000);
+    assert!(
+        (prefill_model.prefill_ms(10_000) - before).abs() < 1.0,
         "answers of a stuck engine are ignored"
     );
 }
@@ -489,7 +497,7 @@
     here.record_sent(endpoints[0].key, &parts, NOW_MS + 100);
     let sent = here.take_unsent(100);
     assert_eq!(sent.len(), 2, "one placement for each part");
-    sent.into_iter().for_each(|placed| there.record_remote(placed, NOW_MS));
+    sent.into_iter().for_each(|placement| there.record_remote(placement, NOW_MS));
     assert_eq!(there.cached_tokens(endpoints[0].key, &parts, NOW_MS), 17_000);
     assert_eq!(there.cached_tokens(endpoints[1].key, &parts, NOW_MS), 0);
     there.remove_endpoint(endpoints[0].key);
--- a/tests/gateway/evacuations.rs
+++ b/tests/gateway/evacuations.rs
@@ -75,7 +75,7 @@
         // One reader has the evacuation from the store, and it is not the aggregator of its zone.
         let reader = entries - 1;
         fleet.nodes[reader].evacuations = evacuated("a", 10, LEAVE_MS);
-        fleet.nodes[reader].has_news = true;
+        fleet.nodes[reader].has_urgent_work = true;
         let begin_ms = fleet.now_ms;
         while !fleet.nodes.iter().all(|node| node.evacuations.contains("a")) {
             assert!(fleet.now_ms < begin_ms + 1_000, "{entries} entries");
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -80,8 +80,8 @@
             for endpoint in 0..ENDPOINTS {
                 if (index + endpoint) % 7 == 0 {
                     let work = load::Work { requests: 1, unread_tokens: 1_000 };
-                    fleet.nodes[index].book.add(key(endpoint), work, fleet.now_ms);
-                    fleet.nodes[index].has_news = true;
+                    fleet.nodes[index].load_table.add(key(endpoint), work, fleet.now_ms);
+                    fleet.nodes[index].has_urgent_work = true;
                 }
             }
         }
@@ -90,7 +90,8 @@
                 for endpoint in 0..ENDPOINTS {
                     let living = fleet.nodes.iter().enumerate().filter(|(_, one)| !one.is_silent);
                     let expected = living.filter(|(index, _)| (index + endpoint) % 7 == 0).count();
-                    let known = node.book.work_at(key(endpoint), fleet.now_ms).requests as usize;
+                    let known =
+                        node.load_table.work_at(key(endpoint), fleet.now_ms).requests as usize;
                     let role = node.exchange.role(fleet.now_ms);
                     assert_eq!(
                         known, expected,
@@ -120,13 +121,13 @@
         fleet.run_ms(500);
         for index in 0..entries {
             let part = PromptPart { id: index as u64, tokens: 3_000 };
-            fleet.nodes[index].homes.record_sent(key(index), &[part], fleet.now_ms);
+            fleet.nodes[index].prefix_index.record_sent(key(index), &[part], fleet.now_ms);
         }
         fleet.run_ms(300);
         for node in &fleet.nodes {
             let is_missing = |index: &usize| {
                 let part = PromptPart { id: *index as u64, tokens: 3_000 };
-                node.homes.cached_tokens(key(*index), &[part], fleet.now_ms) == 0
+                node.prefix_index.cached_tokens(key(*index), &[part], fleet.now_ms) == 0
             };
             assert_eq!((0..entries).filter(is_missing).count(), 0, "{entries} entries");
         }
@@ -198,7 +199,8 @@
                 let due = (window - 4..window).find(|one| !billed.sealed.contains_key(one));
                 if let Some(due) = due {
                     let live = node.exchange.peers.boots_since(due * WINDOW_MS);
-                    if node.settled.may_seal((due + 1) * WINDOW_MS, now_ms, held_ms, true, live) {
+                    if node.watermarks.may_seal((due + 1) * WINDOW_MS, now_ms, held_ms, true, live)
+                    {
                         let counts = node.tally.sum(due).values().sum();
 
                         billed.sealed.insert(due, counts);
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -108,7 +108,7 @@
         if (now_ms + node.offset_ms).is_multiple_of(TICK_MS) {
             let exchange = &node.exchange;
             node.limits
-                .set_shares(now_ms, |key, rate| limits::share(rate, exchange.standing(key, "a")));
+                .set_shares(now_ms, |key, rate| limits::share(rate, exchange.position(key, "a")));
         }
         if !node.limits.has_room(key(0), now_ms) {
             return;
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -31,18 +31,18 @@
     pub zone: &'static str,
     pub boot: u64,
     pub exchange: Exchange,
-    pub book: load::LoadTable,
-    pub homes: prefix_index::PrefixIndex,
+    pub load_table: load::LoadTable,
+    pub prefix_index: prefix_index::PrefixIndex,
     pub limits: limits::Limits,
     pub departures: departures::Departures,
     pub tally: Tally,
     pub outbox: Outbox,
-    pub settled: Watermarks,
+    pub watermarks: Watermarks,
     pub holds_duties: bool,
     pub is_stopping: bool,
     pub evacuations: evacuation::Evacuations,
     /// Load was added that the others have to know at once.
-    pub has_news: bool,
+    pub has_urgent_work: bool,
     /// Running, but neither sends to nor receives from any other entry.
     pub is_cut_off: bool,
     /// Network partition. Only entries of the same partition reach each other.
@@ -145,17 +145,17 @@
             zone,
             boot,
             exchange: Exchange::new(own, Peers::new(&settings, now_ms), now_ms),
-            book: load::LoadTable::default(),
-            homes: prefix_index::PrefixIndex::default(),
+            load_table: load::LoadTable::default(),
+            prefix_index: prefix_index::PrefixIndex::default(),
             limits: limits::Limits::default(),
             departures: departures::Departures::default(),
             tally: Tally::default(),
             outbox: Outbox::new(boot, WINDOW_MS),
-            settled: Watermarks::default(),
+            watermarks: Watermarks::default(),
             holds_duties: false,
             is_stopping: false,
             evacuations: evacuation::Evacuations::default(),
-            has_news: false,
+            has_urgent_work: false,
             is_cut_off: false,
             island: 0,
             is_silent: false,
@@ -190,9 +190,14 @@
                 continue;
             }
             let local = local_state(node, now_ms);
-            let mut out =
-                node.exchange.tick(now_ms, &local, node.has_news, &mut node.book, &mut node.homes);
-            node.has_news = false;
+            let mut out = node.exchange.tick(
+                now_ms,
+                &local,
+                node.has_urgent_work,
+                &mut node.load_table,
+                &mut node.prefix_index,
+            );
+            node.has_urgent_work = false;
             if (now_ms + node.offset_ms) % COUNTS_MS < TICK_MS {
                 out.extend(counts(node, now_ms));
             }
@@ -235,13 +240,16 @@
                 node.evacuations.adopt(&state.evacuations, now_ms);
                 out = node.exchange.handle_state(&state, &local, now_ms).1;
             }
-            Message::Work(work) => node.exchange.handle_work(&work, &mut node.book, now_ms),
+            Message::Work(work) => node.exchange.handle_work(&work, &mut node.load_table, now_ms),
             Message::Roster(roster) => {
                 node.exchange.peers.merge_roster(&roster, now_ms);
             }
-            Message::Placements(placed) => {
-                node.exchange.forward(placed.hop, &placed.parts);
-                placed.parts.into_iter().for_each(|one| node.homes.record_remote(one, now_ms));
+            Message::Placements(placements) => {
+                node.exchange.forward(placements.hop, &placements.parts);
+                placements
+                    .parts
+                    .into_iter()
+                    .for_each(|one| node.prefix_index.record_remote(one, now_ms));
             }
             Message::Limits(limits) => {
                 for limit in limits {
@@ -255,13 +263,12 @@
             }
             Message::Counts { from, counts } => {
                 node.tally.merge(counts.boot, &counts.counts);
-                let receipt = node.settled.receive(&counts, node.boot);
-                let message =
-                    Message::CountsAck { from: node.addr, receiver_boot: node.boot, receipt };
+                let ack = node.watermarks.receive(&counts, node.boot);
+                let message = Message::CountsAck { from: node.addr, receiver_boot: node.boot, ack };
                 out.push(Outgoing { to: vec![from], message });
             }
-            Message::CountsAck { from, receiver_boot, receipt } => {
-                node.outbox.acknowledge(from, receiver_boot, receipt);
+            Message::CountsAck { from, receiver_boot, ack } => {
+                node.outbox.acknowledge(from, receiver_boot, ack);
             }
         }
         self.send(index, out);
@@ -376,7 +383,7 @@
         holds_duties: node.holds_duties,
         is_stopping: node.is_stopping,
         lease: None,
-        gate: admission::AdmissionControl::default().ages(now_ms),
+        admission_ages: admission::AdmissionControl::default().ages(now_ms),
         evacuations: node.evacuations.snapshot(now_ms),
         limits: node.limits.updates(now_ms),
         limits_stamp: node.limits.newest_stamp(),
@@ -391,9 +398,9 @@
     receivers.dedup();
     receivers.truncate(2);
     let own = node.tally.newest_of(node.boot, 6);
-    let parcels = node.outbox.batches(&receivers, &own, now_ms);
+    let batches = node.outbox.batches(&receivers, &own, now_ms);
     let message = |counts| Message::Counts { from: node.addr, counts };
-    parcels
+    batches
         .into_iter()
         .map(|(to, counts)| Outgoing { to: vec![to], message: message(counts) })
         .collect()
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -63,11 +63,11 @@
     fn send(&mut self, fleet: &Fleet, index: usize) {
         let (now_ms, node) = (fleet.now_ms, &fleet.nodes[index]);
         if (now_ms + node.offset_ms).is_multiple_of(TICK_MS) {
-            let most_per_s = warmup::max_per_s_per_sender(PER_S, FACTOR, EXTRA);
+            let max_per_s = warmup::max_per_s_per_sender(PER_S, FACTOR, EXTRA);
             let allowed = |endpoint: usize| {
                 let zone = ZONES[endpoint % self.zones];
-                let is_sender = node.exchange.is_sole_sender(key(endpoint), zone);
-                ColdLimit { until_ms: u64::MAX, max_per_s: if is_sender { most_per_s } else { 0 } }
+                let is_sender = node.exchange.is_designated_sender(key(endpoint), zone);
+                ColdLimit { until_ms: u64::MAX, max_per_s: if is_sender { max_per_s } else { 0 } }
             };
             self.cold[index].endpoints =
                 (0..ENDPOINTS).map(|endpoint| (key(endpoint), allowed(endpoint))).collect();
