--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -9,9 +9,9 @@
 use std::time::Instant;
 
 use briarwinch::answer::{Answer, Reader, Top};
+use briarwinch::gossip::Shared;
 use briarwinch::queue::{ClassRule, Job, Queue};
 use briarwinch::seal::{self, Secret};
-use briarwinch::spread::Shared;
 use briarwinch::wire::{self, ConfigText};
 use briarwinch::{config, keys, membership, sse};
 
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use briarwinch::spread::Shared;
+use briarwinch::gossip::Shared;
 use briarwinch::{bound, control, hub, link, membership, seal, settings, wire};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
--- a/src/control.rs
+++ b/src/control.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
 
-use crate::{bound, duties, hub, membership, platform, seal, settings, spread, store, wire};
+use crate::{bound, duties, gossip, hub, membership, platform, seal, settings, store, wire};
 
 /// Peers told at once when something changed here.
 const RUMOR_PEERS: usize = 3;
@@ -49,7 +49,7 @@
     pub boot: u64,
     secret: seal::Secret,
     me: RefCell<membership::Member>,
-    shared: RefCell<spread::Shared>,
+    shared: RefCell<gossip::Shared>,
     socket: UdpSocket,
     pulls: RefCell<HashSet<SocketAddr>>,
     heard_peer: Cell<bool>,
@@ -154,7 +154,7 @@
     }
 
     /// Runs `read` on the shared state.
-    pub fn with_shared<T>(&self, read: impl FnOnce(&spread::Shared) -> T) -> T {
+    pub fn with_shared<T>(&self, read: impl FnOnce(&gossip::Shared) -> T) -> T {
         read(&self.shared.borrow())
     }
 
@@ -200,7 +200,7 @@
             shared.fleet.take(me.clone())
         };
         if changed {
-            self.publish(spread::Changed { members: true, ..Default::default() });
+            self.publish(gossip::Changed { members: true, ..Default::default() });
         }
     }
 
@@ -218,11 +218,11 @@
     /// Forgets what was learnt from peers of another fleet.
     fn begin_anew(&self, fleet_id: u64) {
         slog::error!(self.log, "peers of another fleet, all forgotten"; "fleet" => fleet_id);
-        *self.shared.borrow_mut() = spread::Shared::of_fleet(fleet_id);
+        *self.shared.borrow_mut() = gossip::Shared::of_fleet(fleet_id);
         self.write_own_record();
     }
 
-    fn take(&self, change: impl FnOnce(&mut spread::Shared) -> spread::Changed) {
+    fn take(&self, change: impl FnOnce(&mut gossip::Shared) -> gossip::Changed) {
         let changed = change(&mut self.shared.borrow_mut());
         if !changed.any() {
             return;
@@ -238,7 +238,7 @@
     }
 
     /// Hands the new state to the traffic threads and tells a few peers at once.
-    fn publish(&self, changed: spread::Changed) {
+    fn publish(&self, changed: gossip::Changed) {
         let snapshot = {
             let shared = self.shared.borrow();
             if changed.config {
@@ -255,7 +255,7 @@
         self.send_digests(RUMOR_PEERS);
     }
 
-    fn log_config(&self, shared: &spread::Shared) {
+    fn log_config(&self, shared: &gossip::Shared) {
         match &shared.refused {
             Some(refused) => slog::error!(self.log, "configuration refused";
                 "version" => refused.version, "mistake" => refused.mistake.to_string()),
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -9,7 +9,7 @@
 
 use super::{Control, peers};
 use crate::store::ObjectStore;
-use crate::{spread, store};
+use crate::{gossip, store};
 
 /// How often a daemon that does not read looks whether it should.
 const RECHECK_MS: u64 = 1_000;
@@ -142,7 +142,7 @@
         let read = control.platform.roster().await;
         control.hub.store_calls.fetch_add(1, Ordering::Relaxed);
         if let Ok(roster) = read {
-            control.take(|shared| spread::Changed {
+            control.take(|shared| gossip::Changed {
                 roster: shared.take_roster(roster),
                 ..Default::default()
             });
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -10,7 +10,7 @@
 use ntex::web::{self, HttpRequest, HttpResponse};
 
 use super::{Worker, relay, respond};
-use crate::{admission, body, config, error, explain, keys, openai, spread, trace, wire};
+use crate::{admission, body, config, error, explain, gossip, keys, openai, trace, wire};
 
 /// Names the class of a request.
 pub(super) const CLASS_HEADER: &str = "briarwinch-class";
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) id: CompactString,
-    pub(super) snapshot: Arc<spread::Snapshot>,
+    pub(super) snapshot: Arc<gossip::Snapshot>,
     pub(super) service: CompactString,
     pub(super) class: CompactString,
     pub(super) account: CompactString,
@@ -160,7 +160,7 @@
 }
 
 fn check_key<'a>(
-    snapshot: &'a spread::Snapshot,
+    snapshot: &'a gossip::Snapshot,
     http: &HttpRequest,
 ) -> Result<&'a keys::Versioned, error::Refusal> {
     let text = bearer(http).ok_or_else(|| error::Refusal::not_run(error::Kind::MissingKey))?;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -25,8 +25,8 @@
 use tokio::{task, time};
 
 use crate::{
-    admin, admission, bound, control, explain, hub, logging, membership, metric, placement, retry,
-    seal, settings, spread, trace,
+    admin, admission, bound, control, explain, gossip, hub, logging, membership, metric, placement,
+    retry, seal, settings, trace,
 };
 
 /// How long an idle connection of a caller is kept.
@@ -168,7 +168,7 @@
         worker
     }
 
-    fn snapshot(&self) -> Arc<spread::Snapshot> {
+    fn snapshot(&self) -> Arc<gossip::Snapshot> {
         self.common.hub.snapshot.load_full()
     }
 
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -6,12 +6,12 @@
 
 use arc_swap::ArcSwap;
 
-use crate::{clock, duties, spread, usage};
+use crate::{clock, duties, gossip, usage};
 
 /// What the control thread and the traffic threads of a daemon share.
 #[derive(Debug)]
 pub struct Hub {
-    pub snapshot: ArcSwap<spread::Snapshot>,
+    pub snapshot: ArcSwap<gossip::Snapshot>,
     /// Counts snapshots, so that a traffic thread sees cheaply that there is a new one.
     pub generation: AtomicU64,
     pub ready: AtomicBool,
@@ -20,7 +20,7 @@
     pub store_up: AtomicBool,
     pub sheet: Mutex<usage::Sheet>,
     /// The shared state as the operators' listener shows it.
-    pub shared: Mutex<spread::Shared>,
+    pub shared: Mutex<gossip::Shared>,
     pub duties: Mutex<Vec<duties::Status>>,
     pub bytes_out: AtomicU64,
     pub store_calls: AtomicU64,
@@ -31,7 +31,7 @@
 impl Default for Hub {
     fn default() -> Self {
         Self {
-            snapshot: ArcSwap::from_pointee(spread::Snapshot::default()),
+            snapshot: ArcSwap::from_pointee(gossip::Snapshot::default()),
             generation: AtomicU64::new(0),
             ready: AtomicBool::new(false),
             draining: AtomicBool::new(false),
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use crate::{config, lease, orders, pace, queue, settings, spread};
+use crate::{config, gossip, lease, orders, pace, queue, settings};
 
 /// Prompt heads remembered as served lately.
 const PREFIXES: usize = 1024;
@@ -107,7 +107,7 @@
     /// placed again, with the model that is now in force.
     pub fn follow(
         &self,
-        snapshot: &spread::Snapshot,
+        snapshot: &gossip::Snapshot,
     ) -> Option<(Vec<queue::Job>, Arc<config::Config>)> {
         let in_force = snapshot.config.as_ref()?;
         if in_force.version == self.version.get() {
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -1,8 +1,8 @@
 //! What is shared only ever moves forward, and ends the same everywhere.
 
+use briarwinch::gossip::Shared;
 use briarwinch::keys::{Record, Table, Versioned};
 use briarwinch::membership::{Member, Role, State};
-use briarwinch::spread::Shared;
 use briarwinch::store::Object;
 use briarwinch::wire::ConfigText;
 use proptest::prelude::*;
