--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use briarwinch::answer::{Answer, Reader, Top};
-use briarwinch::gossip::Shared;
+use briarwinch::gossip::SharedState;
 use briarwinch::queue::{ClassRule, Job, Queue};
 use briarwinch::seal::{self, Secret};
 use briarwinch::wire::{self, ConfigText};
@@ -267,8 +267,8 @@
     }
 }
 
-fn fleet() -> Shared {
-    let mut shared = Shared::default();
+fn fleet() -> SharedState {
+    let mut shared = SharedState::default();
     for number in 0..DAEMONS {
         shared.fleet.take(member(number));
     }
@@ -312,7 +312,7 @@
     newer.take_config(ConfigText { version: 9, text: text(ACCOUNTS) });
     let pull = shared.pull();
     let size =
-        |shared: &Shared| postcard::to_stdvec(&shared.news_for(&pull)).map_or(0, |b| b.len());
+        |shared: &SharedState| postcard::to_stdvec(&shared.news_for(&pull)).map_or(0, |b| b.len());
     let pull_bytes = postcard::to_stdvec(&pull).map_or(0, |bytes| bytes.len());
     print("pull: size with 340 daemons", "bytes", pull_bytes as f64);
     print("news: one configuration and one daemon", "bytes", size(&newer) as f64);
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use briarwinch::gossip::Shared;
+use briarwinch::gossip::SharedState;
 use briarwinch::{bound, control, hub, link, membership, seal, settings, wire};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
@@ -139,7 +139,7 @@
     let sockets = bound::Pair::bind(&mut own).expect("a free port");
     let listener = TcpListener::from_std(sockets.tcp).expect("a listener");
     let udp = UdpSocket::from_std(sockets.udp).expect("a socket");
-    let mut shared = Shared::default();
+    let mut shared = SharedState::default();
     let target_ms = version + 100;
     let text = format!(
         "{{\"classes\": {{\"c\": {{\"latency_target_ms\": {target_ms}, \"priority\": 1}}}}, \
--- a/src/control.rs
+++ b/src/control.rs
@@ -49,7 +49,7 @@
     pub boot: u64,
     secret: seal::Secret,
     me: RefCell<membership::Member>,
-    shared: RefCell<gossip::Shared>,
+    shared: RefCell<gossip::SharedState>,
     socket: UdpSocket,
     pulls: RefCell<HashSet<SocketAddr>>,
     heard_peer: Cell<bool>,
@@ -154,7 +154,7 @@
     }
 
     /// Runs `read` on the shared state.
-    pub fn with_shared<T>(&self, read: impl FnOnce(&gossip::Shared) -> T) -> T {
+    pub fn with_shared<T>(&self, read: impl FnOnce(&gossip::SharedState) -> T) -> T {
         read(&self.shared.borrow())
     }
 
@@ -218,11 +218,11 @@
     /// Forgets what was learnt from peers of another fleet.
     fn begin_anew(&self, fleet_id: u64) {
         slog::error!(self.log, "peers of another fleet, all forgotten"; "fleet" => fleet_id);
-        *self.shared.borrow_mut() = gossip::Shared::of_fleet(fleet_id);
+        *self.shared.borrow_mut() = gossip::SharedState::of_fleet(fleet_id);
         self.write_own_record();
     }
 
-    fn take(&self, change: impl FnOnce(&mut gossip::Shared) -> gossip::Changed) {
+    fn take(&self, change: impl FnOnce(&mut gossip::SharedState) -> gossip::Changed) {
         let changed = change(&mut self.shared.borrow_mut());
         if !changed.any() {
             return;
@@ -255,7 +255,7 @@
         self.send_digests(RUMOR_PEERS);
     }
 
-    fn log_config(&self, shared: &gossip::Shared) {
+    fn log_config(&self, shared: &gossip::SharedState) {
         match &shared.refused {
             Some(refused) => slog::error!(self.log, "configuration refused";
                 "version" => refused.version, "mistake" => refused.mistake.to_string()),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -17,7 +17,7 @@
 
 /// A configuration in force.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     pub version: u64,
     pub text: String,
     pub model: Arc<config::Config>,
@@ -25,7 +25,7 @@
 
 /// A configuration that was not taken, and why.
 #[derive(Clone, Debug)]
-pub struct Refused {
+pub struct RejectedConfig {
     pub version: u64,
     pub mistake: jsonc::Mistake,
 }
@@ -58,13 +58,13 @@
 
 /// One daemon's copy of what all share.
 #[derive(Clone, Debug, Default)]
-pub struct Shared {
+pub struct SharedState {
     /// The number in the fleet's store, once known.
     pub fleet_id: Option<u64>,
-    pub config: Option<InForce>,
+    pub config: Option<ActiveConfig>,
     /// The newest text seen, good or not; a bad one is passed on so that all agree to refuse it.
     newest: Option<wire::ConfigText>,
-    pub refused: Option<Refused>,
+    pub refused: Option<RejectedConfig>,
     pub keys: Arc<keys::Table>,
     pub roster: platform::Roster,
     pub fleet: membership::Fleet,
@@ -72,7 +72,7 @@
     pub reads: u64,
 }
 
-impl Shared {
+impl SharedState {
     /// Nothing is known but the fleet's number.
     #[must_use]
     pub fn of_fleet(fleet_id: u64) -> Self {
@@ -210,14 +210,14 @@
         match config::Config::parse(&text.text) {
             Ok(model) => {
                 self.refused = None;
-                self.config = Some(InForce {
+                self.config = Some(ActiveConfig {
                     version: text.version,
                     text: text.text.clone(),
                     model: Arc::new(model),
                 });
             }
             Err(mistake) => {
-                self.refused = Some(Refused { version: text.version, mistake });
+                self.refused = Some(RejectedConfig { version: text.version, mistake });
             }
         }
         self.newest = Some(text);
@@ -288,7 +288,7 @@
 /// What traffic threads know; replaced whole with each change.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    pub config: Option<InForce>,
+    pub config: Option<ActiveConfig>,
     pub keys: Arc<keys::Table>,
     /// Daemons and endpoints that the platform says are leaving.
     pub leaving: HashSet<CompactString>,
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -20,7 +20,7 @@
     pub store_up: AtomicBool,
     pub sheet: Mutex<usage::Sheet>,
     /// The shared state as the operators' listener shows it.
-    pub shared: Mutex<gossip::Shared>,
+    pub shared: Mutex<gossip::SharedState>,
     pub duties: Mutex<Vec<duties::Status>>,
     pub bytes_out: AtomicU64,
     pub store_calls: AtomicU64,
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -1,6 +1,6 @@
 //! What is shared only ever moves forward, and ends the same everywhere.
 
-use briarwinch::gossip::Shared;
+use briarwinch::gossip::SharedState;
 use briarwinch::keys::{Record, Table, Versioned};
 use briarwinch::membership::{Member, Role, State};
 use briarwinch::store::Object;
@@ -86,7 +86,7 @@
     prop::collection::vec(act, 1..150)
 }
 
-fn pull(daemons: &mut [Shared], from: usize, to: usize) {
+fn pull(daemons: &mut [SharedState], from: usize, to: usize) {
     let news = daemons[from].news_for(&daemons[to].pull());
     daemons[to].take_news(news);
 }
@@ -98,7 +98,7 @@
     /// configuration would revert, or a withdrawn key work again.
     #[test]
     fn versions_never_go_down_and_all_end_alike(acts in acts()) {
-        let mut daemons: Vec<Shared> = vec![Shared::default(); 4];
+        let mut daemons: Vec<SharedState> = vec![SharedState::default(); 4];
         let addr = ([127, 0, 0, 1], 1).into();
         for act in acts {
             let before: Vec<_> = daemons.iter().map(|shared| {
@@ -123,7 +123,7 @@
                 }
                 Act::Pull { from, to } => pull(&mut daemons, from, to),
                 Act::Restart { daemon } => {
-                    daemons[daemon] = Shared::default();
+                    daemons[daemon] = SharedState::default();
                     restarted = Some(daemon);
                 }
             }
