--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -270,7 +270,7 @@
 fn fleet() -> SharedState {
     let mut shared = SharedState::default();
     for number in 0..DAEMONS {
-        shared.fleet.take(member(number));
+        shared.fleet.merge(member(number));
     }
     shared
 }
@@ -308,16 +308,17 @@
     let mut newer = shared.clone();
     let mut changed = member(7);
     changed.version += 1;
-    newer.fleet.take(changed);
-    newer.take_config(ConfigText { version: 9, text: text(ACCOUNTS) });
+    newer.fleet.merge(changed);
+    newer.merge_config(ConfigText { version: 9, text: text(ACCOUNTS) });
     let pull = shared.pull();
-    let size =
-        |shared: &SharedState| postcard::to_stdvec(&shared.news_for(&pull)).map_or(0, |b| b.len());
+    let size = |shared: &SharedState| {
+        postcard::to_stdvec(&shared.update_for(&pull)).map_or(0, |b| b.len())
+    };
     let pull_bytes = postcard::to_stdvec(&pull).map_or(0, |bytes| bytes.len());
     print("pull: size with 340 daemons", "bytes", pull_bytes as f64);
     print("news: one configuration and one daemon", "bytes", size(&newer) as f64);
     let news = time_ns(1, || {
-        black_box(newer.news_for(&pull));
+        black_box(newer.update_for(&pull));
     });
     print("news: make them", "ns", news);
 }
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -145,7 +145,7 @@
         "{{\"classes\": {{\"c\": {{\"latency_target_ms\": {target_ms}, \"priority\": 1}}}}, \
          \"services\": {{}}, \"accounts\": {{}}}}"
     );
-    shared.take_config(wire::ConfigText { version, text });
+    shared.merge_config(wire::ConfigText { version, text });
     let digest = wire::Datagram::Digest(shared.digest(own, true));
     let bytes = seal::datagram(&secret, &digest).expect("short");
     let shared = Rc::new(shared);
@@ -161,7 +161,7 @@
                 return;
             };
             while let Ok(Some(pull)) = link.inbox.next::<wire::Pull>().await {
-                link.outbox.send(&shared.news_for(&pull));
+                link.outbox.send(&shared.update_for(&pull));
             }
         });
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -197,7 +197,7 @@
             if let Some(known) = shared.fleet.find(&me.id) {
                 me.version = me.version.max(known.version + 1);
             }
-            shared.fleet.take(me.clone())
+            shared.fleet.merge(me.clone())
         };
         if changed {
             self.publish(gossip::Changed { members: true, ..Default::default() });
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -103,11 +103,11 @@
     loop {
         let pull = control.shared.borrow().pull();
         link.outbox.send(&pull);
-        let Some(news) = link.inbox.next::<wire::News>().await? else {
+        let Some(news) = link.inbox.next::<wire::Update>().await? else {
             break;
         };
         let more = news.more_keys;
-        control.take(|shared| shared.take_news(news));
+        control.take(|shared| shared.merge_update(news));
         if !more {
             break;
         }
@@ -138,7 +138,7 @@
             metric::count_reject(seal::Reject::Fleet);
             break;
         }
-        let news = control.shared.borrow().news_for(&pull);
+        let news = control.shared.borrow().update_for(&pull);
         link.outbox.send(&news);
         let sent = link.outbox.backlog_bytes() as u64;
         control.hub.bytes_out.fetch_add(sent, Ordering::Relaxed);
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -121,7 +121,7 @@
     // come to the same count, and each stand-in would take itself for the only reader for ever.
     let counted = control.with_shared(|shared| shared.reads) + rand::random_range(1..=COUNT_STEP);
     control.reads_grew(counted);
-    control.take(|shared| shared.take_objects(listing.objects));
+    control.take(|shared| shared.merge_objects(listing.objects));
     counted
 }
 
@@ -143,7 +143,7 @@
         control.hub.store_calls.fetch_add(1, Ordering::Relaxed);
         if let Ok(roster) = read {
             control.take(|shared| gossip::Changed {
-                roster: shared.take_roster(roster),
+                roster: shared.merge_roster(roster),
                 ..Default::default()
             });
         }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -130,12 +130,12 @@
 
     /// What a pulling peer lacks.
     #[must_use]
-    pub fn news_for(&self, pull: &wire::Pull) -> wire::News {
+    pub fn update_for(&self, pull: &wire::Pull) -> wire::Update {
         let mut keys = self.keys.after(pull.keys_revision);
         let more_keys = keys.len() > KEYS_PER_NEWS;
         keys.truncate(KEYS_PER_NEWS);
         let newest = self.newest.as_ref();
-        wire::News {
+        wire::Update {
             fleet_id: self.fleet_id,
             config: newest.filter(|text| text.version > pull.config_version).cloned(),
             keys,
@@ -156,23 +156,23 @@
     }
 
     /// Takes in a peer's news.
-    pub fn take_news(&mut self, news: wire::News) -> Changed {
+    pub fn merge_update(&mut self, news: wire::Update) -> Changed {
         let mut changed = Changed::default();
         if self.is_foreign(news.fleet_id) {
             return changed;
         }
         self.fleet_id = self.fleet_id.or(news.fleet_id);
         if let Some(text) = news.config {
-            changed.config = self.take_config(text);
+            changed.config = self.merge_config(text);
         }
         for key in news.keys {
             changed.keys |= Arc::make_mut(&mut self.keys).take(key);
         }
         if let Some(roster) = news.roster {
-            changed.roster = self.take_roster(roster);
+            changed.roster = self.merge_roster(roster);
         }
         for member in news.members {
-            changed.members |= self.fleet.take(member);
+            changed.members |= self.fleet.merge(member);
         }
         changed
     }
@@ -181,7 +181,7 @@
     ///
     /// They must come in the order of their versions, and complete from the last one taken: the
     /// keys' revision says that all keys up to it are known.
-    pub fn take_objects(&mut self, mut objects: Vec<store::Object>) -> Changed {
+    pub fn merge_objects(&mut self, mut objects: Vec<store::Object>) -> Changed {
         objects.sort_by_key(|object| object.version);
         let mut changed = Changed::default();
         for object in objects {
@@ -189,7 +189,7 @@
                 self.fleet_id = object.value.parse().ok().or(self.fleet_id);
             } else if object.key == store::CONFIG_KEY {
                 let text = wire::ConfigText { version: object.version, text: object.value };
-                changed.config |= self.take_config(text);
+                changed.config |= self.merge_config(text);
             } else if object.key.starts_with(store::KEYS_PREFIX) {
                 let Ok(record) = serde_json::from_str(&object.value) else {
                     continue;
@@ -203,7 +203,7 @@
 
     /// Takes in a text unless a newer one is known; a text with a mistake is remembered by its
     /// version and the last good one stays in force.
-    pub fn take_config(&mut self, text: wire::ConfigText) -> bool {
+    pub fn merge_config(&mut self, text: wire::ConfigText) -> bool {
         if text.version <= self.config_version() {
             return false;
         }
@@ -225,7 +225,7 @@
     }
 
     /// Takes in the platform's list unless a newer one is known.
-    pub fn take_roster(&mut self, roster: platform::Roster) -> bool {
+    pub fn merge_roster(&mut self, roster: platform::Roster) -> bool {
         if roster.revision <= self.roster.revision {
             return false;
         }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -148,7 +148,7 @@
     }
 
     /// Takes in a record unless it is old; says whether it was taken.
-    pub fn take(&mut self, new: Member) -> bool {
+    pub fn merge(&mut self, new: Member) -> bool {
         match self.members.get(&new.id) {
             Some(known) if known.version >= new.version => return false,
             Some(known) => self.digest ^= known.hash(),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -206,7 +206,7 @@
 
 /// What the asked peer has beyond that.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     pub fleet_id: Option<u64>,
     pub config: Option<ConfigText>,
     pub keys: Vec<keys::Versioned>,
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -87,8 +87,8 @@
 }
 
 fn pull(daemons: &mut [SharedState], from: usize, to: usize) {
-    let news = daemons[from].news_for(&daemons[to].pull());
-    daemons[to].take_news(news);
+    let news = daemons[from].update_for(&daemons[to].pull());
+    daemons[to].merge_update(news);
 }
 
 proptest! {
@@ -107,7 +107,7 @@
             let mut restarted = None;
             match act {
                 Act::Config { daemon, version } => {
-                    daemons[daemon].take_config(ConfigText { version, text: text(version) });
+                    daemons[daemon].merge_config(ConfigText { version, text: text(version) });
                 }
                 Act::Key { daemon, revision } => {
                     // A reader has all up to a revision: it lists, then watches.
@@ -116,10 +116,10 @@
                         version: revision,
                         value: serde_json::to_string(&key(revision).record).expect("a record"),
                     });
-                    daemons[daemon].take_objects(objects.collect());
+                    daemons[daemon].merge_objects(objects.collect());
                 }
                 Act::Member { daemon, number, version } => {
-                    daemons[daemon].fleet.take(member(number, version));
+                    daemons[daemon].fleet.merge(member(number, version));
                 }
                 Act::Pull { from, to } => pull(&mut daemons, from, to),
                 Act::Restart { daemon } => {
