--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-use briarwinch::membership::Place;
+use briarwinch::membership::EndpointLocation;
 use briarwinch::pace::Pace;
 use briarwinch::placement::{self, Silent, Target};
 use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
@@ -81,7 +81,7 @@
     waiting: Waiting,
     pace: Pace,
     runs: HashMap<u64, Run>,
-    place: Place,
+    place: EndpointLocation,
     standing: Standing,
     /// Since when it costs.
     since_ms: u64,
@@ -185,7 +185,7 @@
             waiting,
             pace: Pace::default(),
             runs: HashMap::new(),
-            place: Place {
+            place: EndpointLocation {
                 work_addr,
                 endpoint: wire::EndpointIndex(0),
                 id: format!("engine-{number}").into(),
@@ -291,7 +291,7 @@
 
     fn ask(&mut self, request: usize, open: &[usize]) -> Option<usize> {
         let (entry, head) = (self.requests[request].entry, self.requests[request].head);
-        let places: Vec<Place> =
+        let places: Vec<EndpointLocation> =
             open.iter().map(|number| self.endpoints[*number].place.clone()).collect();
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -58,7 +58,7 @@
     /// over, that one's run would be repeated elsewhere.
     pub(super) async fn ask(
         &self,
-        places: &[&membership::Place],
+        places: &[&membership::EndpointLocation],
         ask: &wire::Ask,
         limit_ms: u64,
     ) -> Vec<Answered> {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -107,7 +107,7 @@
     let region = &worker.common.settings.daemon.region;
     for needed in &in_force.model.service_at(service).needs {
         let name = &in_force.model.service_at(*needed).name;
-        if request.snapshot.places(region, name).is_empty() {
+        if request.snapshot.endpoints(region, name).is_empty() {
             return Err(error::Refusal::not_run(error::Kind::DependencyDown)
                 .detail(format!("(`{name}`)"))
                 .retry_after_ms(5_000));
@@ -168,7 +168,7 @@
 ) -> Option<placement::Target> {
     let daemon = &worker.common.settings.daemon;
     let snapshot = worker.snapshot();
-    let places = snapshot.places(&daemon.region, &request.service);
+    let places = snapshot.endpoints(&daemon.region, &request.service);
     let span = trace::Span::start("ask", request.trace);
     let ask = wire::Ask {
         nonce: 0,
@@ -207,10 +207,10 @@
 fn pick<'a>(
     worker: &Worker,
     request: &intake::Request,
-    places: &'a [membership::Place],
+    places: &'a [membership::EndpointLocation],
     tried: &HashSet<placement::Target>,
     without_silent: bool,
-) -> Vec<&'a membership::Place> {
+) -> Vec<&'a membership::EndpointLocation> {
     let now_ms = worker.now_ms();
     let silent = worker.silent.borrow();
     let avoid =
@@ -225,10 +225,10 @@
 }
 
 fn choose_best<'a>(
-    asked: &[&'a membership::Place],
+    asked: &[&'a membership::EndpointLocation],
     offers: &[asks::Answered],
     own_zone: &str,
-) -> Option<&'a membership::Place> {
+) -> Option<&'a membership::EndpointLocation> {
     let cost = |answered: &asks::Answered| {
         let place = asked.iter().find(|place| placement::Target::of(place) == answered.target)?;
         if answered.offer.holds_answer {
@@ -241,7 +241,7 @@
     offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, place)| place)
 }
 
-fn asked_line(place: &membership::Place, offers: &[asks::Answered]) -> explain::Asked {
+fn asked_line(place: &membership::EndpointLocation, offers: &[asks::Answered]) -> explain::Asked {
     let target = placement::Target::of(place);
     let offer = offers.iter().find(|answered| answered.target == target);
     explain::Asked {
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -247,7 +247,7 @@
             config: self.config.clone(),
             keys: Arc::clone(&self.keys),
             leaving: leaving.iter().map(|id| CompactString::from(*id)).collect(),
-            places: places(&self.fleet, &leaving),
+            endpoints: available_endpoints(&self.fleet, &leaving),
             entries: ready_entries(&self.fleet),
         }
     }
@@ -262,26 +262,29 @@
 }
 
 /// Endpoints that take work, by region and service.
-fn places(
+fn available_endpoints(
     fleet: &membership::Fleet,
     leaving: &HashSet<&str>,
-) -> HashMap<CompactString, Vec<membership::Place>> {
-    let mut places: HashMap<CompactString, Vec<membership::Place>> = HashMap::new();
+) -> HashMap<CompactString, Vec<membership::EndpointLocation>> {
+    let mut endpoints: HashMap<CompactString, Vec<membership::EndpointLocation>> = HashMap::new();
     for member in fleet.iter().filter(|member| member.state == membership::State::Ready) {
         if leaving.contains(member.id.as_str()) {
             continue;
         }
-        for place in member.places() {
-            if !leaving.contains(place.id.as_str()) {
-                let service = place.service.clone();
-                places.entry(place_key(&member.region, &service)).or_default().push(place);
+        for endpoint in member.endpoint_locations() {
+            if !leaving.contains(endpoint.id.as_str()) {
+                let service = endpoint.service.clone();
+                endpoints
+                    .entry(region_service_key(&member.region, &service))
+                    .or_default()
+                    .push(endpoint);
             }
         }
     }
-    places
+    endpoints
 }
 
-fn place_key(region: &str, service: &str) -> CompactString {
+fn region_service_key(region: &str, service: &str) -> CompactString {
     compact_str::format_compact!("{region}/{service}")
 }
 
@@ -292,7 +295,7 @@
     pub keys: Arc<keys::Table>,
     /// Daemons and endpoints that the platform says are leaving.
     pub leaving: HashSet<CompactString>,
-    places: HashMap<CompactString, Vec<membership::Place>>,
+    endpoints: HashMap<CompactString, Vec<membership::EndpointLocation>>,
     /// Entries that take requests, in all regions.
     pub entries: usize,
 }
@@ -300,8 +303,8 @@
 impl Snapshot {
     /// Endpoints of a service in a region that take work.
     #[must_use]
-    pub fn places(&self, region: &str, service: &str) -> &[membership::Place] {
-        self.places.get(&place_key(region, service)).map_or(&[], Vec::as_slice)
+    pub fn endpoints(&self, region: &str, service: &str) -> &[membership::EndpointLocation] {
+        self.endpoints.get(&region_service_key(region, service)).map_or(&[], Vec::as_slice)
     }
 
     #[must_use]
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -68,9 +68,9 @@
 
 impl Member {
     /// The endpoints this daemon stands in front of.
-    pub fn places(&self) -> impl Iterator<Item = Place> {
+    pub fn endpoint_locations(&self) -> impl Iterator<Item = EndpointLocation> {
         self.work_addr.into_iter().flat_map(move |work_addr| {
-            self.endpoints.iter().enumerate().map(move |(index, endpoint)| Place {
+            self.endpoints.iter().enumerate().map(move |(index, endpoint)| EndpointLocation {
                 work_addr,
                 endpoint: wire::EndpointIndex(index as u16),
                 id: endpoint.id.clone(),
@@ -180,7 +180,7 @@
 
 /// An endpoint and where its side is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct EndpointLocation {
     pub work_addr: SocketAddr,
     pub endpoint: wire::EndpointIndex,
     pub id: CompactString,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -30,7 +30,7 @@
 
 impl Target {
     #[must_use]
-    pub fn of(place: &membership::Place) -> Self {
+    pub fn of(place: &membership::EndpointLocation) -> Self {
         Self { work_addr: place.work_addr, endpoint: place.endpoint }
     }
 }
@@ -71,24 +71,24 @@
 
 /// Picks the endpoints to ask, at most `width`, without those in `tried`.
 pub fn pick<'a>(
-    places: &'a [membership::Place],
+    places: &'a [membership::EndpointLocation],
     own_zone: &str,
     prefix: u64,
     width: usize,
     avoid: impl Fn(Target) -> bool,
     random: &mut impl Rng,
-) -> Vec<&'a membership::Place> {
-    let open: Vec<&membership::Place> =
+) -> Vec<&'a membership::EndpointLocation> {
+    let open: Vec<&membership::EndpointLocation> =
         places.iter().filter(|place| !avoid(Target::of(place))).collect();
-    let near: Vec<&membership::Place> =
+    let near: Vec<&membership::EndpointLocation> =
         open.iter().copied().filter(|place| place.zone == own_zone).collect();
-    let mut picked: Vec<&membership::Place> = Vec::with_capacity(width);
+    let mut picked: Vec<&membership::EndpointLocation> = Vec::with_capacity(width);
     picked.extend(rendezvous(&open, prefix));
     // One endpoint of another zone is always among those asked where there is one, else a zone
     // whose endpoints are all slow would keep its callers while the next zone idles.
     let near_wanted = if near.len() < open.len() { width.saturating_sub(1) } else { width };
     for (group, wanted) in [(&near, near_wanted), (&open, width)] {
-        let left: Vec<&membership::Place> =
+        let left: Vec<&membership::EndpointLocation> =
             group.iter().copied().filter(|place| !picked.contains(place)).collect();
         let missing = wanted.saturating_sub(picked.len());
         picked.extend(left.choose_multiple(random, missing).copied());
@@ -96,7 +96,10 @@
     picked
 }
 
-fn rendezvous<'a>(places: &[&'a membership::Place], prefix: u64) -> Option<&'a membership::Place> {
+fn rendezvous<'a>(
+    places: &[&'a membership::EndpointLocation],
+    prefix: u64,
+) -> Option<&'a membership::EndpointLocation> {
     places.iter().copied().max_by_key(|place| xxh3::xxh3_64_with_seed(place.id.as_bytes(), prefix))
 }
 
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -43,7 +43,7 @@
 
 /// One endpoint with its side's offer, if it answered.
 struct Load {
-    place: membership::Place,
+    place: membership::EndpointLocation,
     offer: Option<wire::Offer>,
 }
 
@@ -232,7 +232,7 @@
 
 async fn loads(control: &control::Control, zone: &str, service: &str) -> Vec<Load> {
     let snapshot = control.hub.snapshot.load_full();
-    let all = snapshot.places(&control.settings.region, service);
+    let all = snapshot.endpoints(&control.settings.region, service);
     let places = all.iter().filter(|place| place.zone == zone).cloned().collect();
     loads_of(control, places, None).await
 }
@@ -240,7 +240,7 @@
 /// Asks endpoints for their load, or to drain for a stop ordered under an epoch.
 async fn loads_of(
     control: &control::Control,
-    places: Vec<membership::Place>,
+    places: Vec<membership::EndpointLocation>,
     drain: Option<lease::Epoch>,
 ) -> Vec<Load> {
     let mut loads: Vec<Load> =
