--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -11,7 +11,7 @@
 const EXIT_SETTINGS: u8 = 3;
 
 /// A daemon's settings name it.
-pub trait Named: settings::Checked {
+pub trait DaemonSettings: settings::Validate {
     fn id(&self) -> &CompactString;
 
     /// Where the daemon's log goes.
@@ -20,19 +20,19 @@
     }
 }
 
-impl Named for settings::Entry {
+impl DaemonSettings for settings::Entry {
     fn id(&self) -> &CompactString {
         &self.daemon.id
     }
 }
 
-impl Named for settings::Side {
+impl DaemonSettings for settings::Side {
     fn id(&self) -> &CompactString {
         &self.daemon.id
     }
 }
 
-impl Named for gateway::settings::Gateway {
+impl DaemonSettings for gateway::settings::Gateway {
     fn id(&self) -> &CompactString {
         &self.id
     }
@@ -43,7 +43,7 @@
 }
 
 /// Runs a daemon's program: reads the command line and the settings, then `run` to its end.
-pub fn main<T: Named + 'static>(
+pub fn main<T: DaemonSettings + 'static>(
     run: impl AsyncFnOnce(T, slog::Logger) -> anyhow::Result<()> + 'static,
 ) -> ExitCode {
     let line = cli::Daemon::parse();
@@ -51,7 +51,7 @@
 }
 
 /// Runs a daemon's program on a command line that has been read.
-pub fn start<T: Named + 'static>(
+pub fn start<T: DaemonSettings + 'static>(
     line: &cli::Daemon,
     run: impl AsyncFnOnce(T, slog::Logger) -> anyhow::Result<()> + 'static,
 ) -> ExitCode {
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -107,7 +107,7 @@
     }
 }
 
-impl settings::Checked for Gateway {
+impl settings::Validate for Gateway {
     fn check(&self) -> Result<(), (jsonc::Path, String)> {
         let require = settings::require;
         require(!self.id.is_empty(), crate::path!["id"], "the id is empty")?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -128,29 +128,29 @@
 const MIN_SECRET_CHARS: usize = 16;
 
 /// Settings that know their own rules.
-pub trait Checked: DeserializeOwned {
+pub trait Validate: DeserializeOwned {
     /// The first rule broken, as a path into the text and a sentence.
     ///
     /// # Errors
     /// When a rule is broken.
-    fn check(&self) -> Result<(), (jsonc::Path, String)>;
+    fn validate(&self) -> Result<(), (jsonc::Path, String)>;
 }
 
-impl Checked for Entry {
-    fn check(&self) -> Result<(), (jsonc::Path, String)> {
-        self.daemon.check()?;
+impl Validate for Entry {
+    fn validate(&self) -> Result<(), (jsonc::Path, String)> {
+        self.daemon.validate()?;
         require(self.workers > 0, crate::path!["workers"], "at least one worker is needed")?;
         require(self.ask_width > 0, crate::path!["ask_width"], "at least one endpoint is asked")
     }
 }
 
-impl Checked for Side {
-    fn check(&self) -> Result<(), (jsonc::Path, String)> {
-        self.daemon.check()?;
+impl Validate for Side {
+    fn validate(&self) -> Result<(), (jsonc::Path, String)> {
+        self.daemon.validate()?;
         require(!self.endpoints.is_empty(), crate::path!["endpoints"], "no endpoint is named")?;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             require(
-                host_port(&endpoint.url).is_some(),
+                parse_http_addr(&endpoint.url).is_some(),
                 crate::path!["endpoints", index, "url"],
                 "the address has the form http://IP:PORT",
             )?;
@@ -160,7 +160,7 @@
 }
 
 impl Daemon {
-    fn check(&self) -> Result<(), (jsonc::Path, String)> {
+    fn validate(&self) -> Result<(), (jsonc::Path, String)> {
         require(!self.id.is_empty(), crate::path!["daemon", "id"], "the id is empty")?;
         require(
             self.fleet_secret.chars().count() >= MIN_SECRET_CHARS,
@@ -168,7 +168,7 @@
             "the secret has fewer than 16 characters",
         )?;
         require(
-            host_port(&self.platform_url).is_some(),
+            parse_http_addr(&self.platform_url).is_some(),
             crate::path!["daemon", "platform_url"],
             "the address has the form http://IP:PORT",
         )
@@ -189,7 +189,7 @@
 
 /// The socket address in `http://IP:PORT`.
 #[must_use]
-pub fn host_port(url: &str) -> Option<SocketAddr> {
+pub fn parse_http_addr(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.trim_end_matches('/').parse().ok()
 }
 
@@ -197,10 +197,10 @@
 ///
 /// # Errors
 /// The first mistake, with line and column.
-pub fn parse<T: Checked>(text: &str) -> Result<T, jsonc::Mistake> {
+pub fn parse<T: Validate>(text: &str) -> Result<T, jsonc::Mistake> {
     let document = jsonc::Document::parse(text)?;
     let settings: T = document.read()?;
-    settings.check().map_err(|(path, sentence)| document.mistake(&path, sentence))?;
+    settings.validate().map_err(|(path, sentence)| document.mistake(&path, sentence))?;
     Ok(settings)
 }
 
@@ -208,7 +208,7 @@
 ///
 /// # Errors
 /// When the file cannot be read, or holds a mistake.
-pub fn load<T: Checked>(file: &path::Path) -> anyhow::Result<T> {
+pub fn load<T: Validate>(file: &path::Path) -> anyhow::Result<T> {
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("cannot read settings {}", file.display()))?;
     parse(&text).with_context(|| format!("settings {}", file.display()))
