--- a/src/entry/reader.rs
+++ b/src/entry/reader.rs
@@ -269,7 +269,7 @@
         let mut submit = (*again).clone();
         submit.stream = stream.id;
         submit.from_offset = from_offset;
-        submit.take_up = true;
+        submit.resume = true;
         if stream.send(&wire::ToSide::Submit(Box::new(submit))) {
             metrics::counter!("briarwinch_streams_taken_up_total").increment(1);
             return Ok(stream);
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -151,7 +151,7 @@
         idempotency: request.idempotency,
         request_digest: request.request_digest,
         repeatable: request.repeatable,
-        take_up: false,
+        resume: false,
         from_offset: 0,
         trace: request.trace,
         credit_bytes: 0,
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -130,7 +130,7 @@
             return self.take_up(&run, &submit, outbox);
         }
         let stream = submit.stream;
-        if submit.take_up {
+        if submit.resume {
             let refusal = error::Refusal::unknown(error::Kind::LinkLost);
             return send_refusal(outbox, stream, refusal.detail("The run is no longer held."));
         }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -122,7 +122,7 @@
     pub request_digest: [u8; 16],
     pub repeatable: bool,
     /// The run is to be taken up again after its link was lost; it must not be started.
-    pub take_up: bool,
+    pub resume: bool,
     /// Where in the body to begin then.
     pub from_offset: u64,
     pub trace: trace::Context,
--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -118,7 +118,7 @@
         let wire::ToSide::Submit(submit) = frame else {
             continue;
         };
-        if submit.take_up {
+        if submit.resume {
             side.taken_up.fetch_add(1, Ordering::Relaxed);
         } else {
             let prompt = prompt_of(&submit);
