--- a/src/billing.rs
+++ b/src/billing.rs
@@ -60,7 +60,7 @@
         let condition = Condition::at(version);
         let value = serde_json::to_string(&sheet).unwrap_or_default();
         let put = control.platform.put(&key, value, condition).await;
-        control.store_answered(&put);
+        control.record_store_outcome(&put);
         match put {
             Ok(new) => {
                 version = new;
--- a/src/control.rs
+++ b/src/control.rs
@@ -159,7 +159,7 @@
     }
 
     /// Notes whether the store answered.
-    pub fn store_answered<T>(&self, outcome: &Result<T, store::Failure>) {
+    pub fn record_store_outcome<T>(&self, outcome: &Result<T, store::Failure>) {
         self.hub.store_calls.fetch_add(1, Ordering::Relaxed);
         let up = !matches!(outcome, Err(store::Failure::Down | store::Failure::NoAnswer));
         if self.hub.store_up.swap(up, Ordering::Relaxed) != up {
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -49,7 +49,7 @@
     // A daemon that stands in for dead readers and finds the store down waits its turn again.
     control.reads_grew_ms.set(control.hub.now_ms());
     let listed = control.platform.list(store::SHARED_PREFIX).await;
-    control.store_answered(&listed);
+    control.record_store_outcome(&listed);
     let Ok(listing) = listed else { return wait_for_store().await };
     control.read_store.set(true);
     know_fleet(control, &listing).await;
@@ -61,7 +61,7 @@
     }
     loop {
         let watched = control.platform.watch(store::SHARED_PREFIX, after).await;
-        control.store_answered(&watched);
+        control.record_store_outcome(&watched);
         let Ok(listing) = watched else { return wait_for_store().await };
         if listing.revision < after {
             // The store answers from an older state than it listed; start over with a listing.
--- a/src/duties.rs
+++ b/src/duties.rs
@@ -167,12 +167,12 @@
         match contender.step(control.hub.now_ms()) {
             lease::Step::Read => {
                 let read = contest::read(&control.platform, &mut contender, &key, clock).await;
-                control.store_answered(&read);
+                control.record_store_outcome(&read);
             }
             lease::Step::Write(write) => {
                 let written =
                     contest::write(&control.platform, &mut contender, &key, &write, clock).await;
-                control.store_answered(&written);
+                control.record_store_outcome(&written);
             }
             lease::Step::WaitUntil(at_ms) => {
                 let now_ms = control.hub.now_ms();
--- a/src/hub.rs
+++ b/src/hub.rs
@@ -55,7 +55,7 @@
     }
 
     /// Counts usage into the billing window of this moment.
-    pub fn count(&self, line: &usage::Line, figures: usage::Figures) {
+    pub fn count_usage(&self, line: &usage::Line, figures: usage::Figures) {
         let snapshot = self.snapshot.load();
         let window_s = snapshot.config.as_ref().map_or(3600, |c| c.model.billing.window_s);
         let window = usage::Window(unix_ms() / 1000 / window_s);
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -81,7 +81,7 @@
         zone: &str,
     ) -> Result<(), Failure> {
         let listed = control.platform.endpoints(zone).await;
-        control.store_answered(&listed);
+        control.record_store_outcome(&listed);
         let list = listed?;
         let config = control.with_shared(|shared| shared.config.clone());
         let Some(config) = config.map(|in_force| in_force.model) else {
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -67,7 +67,7 @@
     }
     let line = usage::Line { account: run.account().clone(), service: run.submit.service.clone() };
     let figures = usage::Figures { requests: 1, prompt_tokens, output_tokens };
-    side.hub.count(&line, figures);
+    side.hub.count_usage(&line, figures);
     metrics::counter!("briarwinch_output_tokens_total").increment(output_tokens);
     metrics::counter!("briarwinch_runs_total").increment(1);
 }
