--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -108,7 +108,7 @@
 }
 
 impl settings::Validate for Gateway {
-    fn check(&self) -> Result<(), (jsonc::Path, String)> {
+    fn validate(&self) -> Result<(), (jsonc::Path, String)> {
         let require = settings::require;
         require(!self.id.is_empty(), crate::path!["id"], "the id is empty")?;
         require(
