--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -276,7 +276,7 @@
         let prefix_index = self.shared.prefix_index();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
-        let known = choose::Inputs {
+        let inputs = choose::Inputs {
             load_table: &load_table,
             prefix_index: &prefix_index,
             health: &health,
@@ -293,7 +293,7 @@
             candidates,
             service.engine.as_ref(),
             job.request.prompt.as_ref(),
-            &known,
+            &inputs,
             &mut rand::rng(),
         )
     }
