--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -34,7 +34,7 @@
 /// Pause after a failed call to the store or the platform.
 const RETRY_MS: u64 = 500;
 /// Minimum interval between two writes of the open windows' counts. If all entries die at once, the counts
-/// of this interval are lost: less than the tolerance of a twentieth of a five-second window.
+/// of this interval are lost; it is below the tolerance, a twentieth of a five-second window.
 const SAVE_INTERVAL_MS: u64 = 200;
 /// Maximum rate of these writes in bytes; with many entries the interval grows.
 const SAVE_BYTES_PER_S: u64 = 150_000;
@@ -53,7 +53,7 @@
 pub(in crate::gateway) struct Billing {
     /// The stored counts of open windows; none until they are read.
     saved: Option<Saved>,
-    /// Time before which no call is made.
+    /// Time before which no call is made, after a failed one.
     retry_ms: u64,
     /// The sealed windows in the store with the object's version; none until they are read.
     seals: Option<(u64, Vec<SealedWindow>)>,
@@ -161,7 +161,7 @@
             .map(|window| (window, tally.sum(window)))
             .find(|(_, counts)| !counts.is_empty())?;
         let end_ms = (window + 1) * window_ms;
-        // Entries that vanished since the window began may only be cut off, so the seal waits for them too.
+        // Entries that vanished since the window began may just be partitioned, so they are awaited too.
         let since_ms = now_ms.saturating_sub(unix_ms.saturating_sub(window * window_ms));
         let is_complete_here = control.shared.settled_ms() >= end_ms;
         let exchange = control.exchange.borrow();
