--- a/src/gateway/duties/election.rs
+++ b/src/gateway/duties/election.rs
@@ -23,7 +23,7 @@
     read_ms: 1_300,
     settle_ms: 300,
 };
-/// Maximum pause between two steps.
+/// Maximum pause between two steps of the election.
 const MAX_PAUSE_MS: u64 = 200;
 /// Time that an entry waits without a known holder before it contends.
 const VACANT_MS: u64 = 300;
@@ -33,7 +33,7 @@
 const STANDBY_ENTRIES: usize = 2;
 /// Time that a successor waits after the former holder's last act when that one gave the lease back. Two
 /// holders that stop one after the other would otherwise act alternately within one term as the platform
-/// counts it (three seconds): with it, the first one's next act is two such waits after its last.
+/// counts it (three seconds). With this wait, the first one's next act is two waits after its last.
 const SUCCESSION_MS: u64 = 1_600;
 
 /// Outcome of one step of a duty: `Again` if it acted and more may be due at once.
@@ -59,9 +59,9 @@
         if control.shared.is_draining() {
             contender.release();
         }
-        if let Some((told, at_ms)) = control.received_lease.take() {
-            contender.told(told, at_ms);
-            other_last_acted = Some((told.boot, at_ms.saturating_sub(told.idle_ms)));
+        if let Some((announced, at_ms)) = control.received_lease.take() {
+            contender.told(announced, at_ms);
+            other_last_acted = Some((announced.boot, at_ms.saturating_sub(announced.idle_ms)));
         }
         let held = contender.epoch(now_ms).is_some();
         update_own_lease(&control, &contender, held);
@@ -117,7 +117,7 @@
 /// Updates what this entry announces about the lease, and whether it holds it.
 fn update_own_lease<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
     let now_ms = control.now_ms();
-    control.own_lease.set(contender.tells(now_ms).map(|told| (told, now_ms)));
+    control.own_lease.set(contender.tells(now_ms).map(|announced| (announced, now_ms)));
     if control.holds_duties.replace(held) != held {
         slog::info!(control.log, "duties"; "held" => held);
     }
