--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -48,7 +48,7 @@
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
     pub gate: gate::Ages,
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
     pub limits: Vec<limits::Told>,
     /// Stamp of the newest change of an endpoint's limit.
     pub limits_stamp: u64,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -37,7 +37,7 @@
     /// Newest information on the lease of the duties that was received from its holder.
     pub lease: Option<lease::Told>,
     pub gate: gate::Ages,
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
 }
 
 impl State {
--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -36,8 +36,9 @@
     };
     let zone = &control.shared.settings.zone;
     let services = table.services().iter().filter(|service| service.engine.is_some());
-    let engines = services.flat_map(|service| snapshot.directory.taking(&service.name));
-    let is_queried = |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.has(zone);
+    let engines = services.flat_map(|service| snapshot.directory.accepting(&service.name));
+    let is_queried =
+        |engine: &&Endpoint| engine.zone == *zone && !snapshot.evacuations.contains(zone);
     engines.filter(is_queried).cloned().collect()
 }
 
@@ -55,7 +56,7 @@
     let (large, small): (Vec<_>, Vec<_>) =
         parts.into_iter().partition(|part| part.tokens >= MIN_SENT_TOKENS);
     let now_ms = control.now_ms();
-    let mut homes = control.shared.homes();
+    let mut homes = control.shared.prefix_locations();
     homes.place(engine.key, &large, now_ms);
     homes.recall(engine.key, &small, now_ms);
 }
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -201,7 +201,7 @@
     let now_ms = control.now_ms();
     slog::info!(control.log, "memory pulled"; "peer" => from.to_string(),
         "parts" => soft_state.placed.len(), "starts" => soft_state.counts.len());
-    let mut homes = control.shared.homes();
+    let mut homes = control.shared.prefix_locations();
     soft_state.placed.into_iter().for_each(|placed| homes.note(placed, now_ms));
     control.shared.tally().take_saved(soft_state.counts);
 }
@@ -267,7 +267,7 @@
     let placed = match scope {
         SoftStateScope::Nothing => return None,
         SoftStateScope::Counts => Vec::new(),
-        SoftStateScope::All => control.shared.homes().latest(MAX_PLACEMENTS),
+        SoftStateScope::All => control.shared.prefix_locations().latest(MAX_PLACEMENTS),
     };
     let counts = control.shared.tally().newest(tally::KEPT_WINDOWS as usize);
     Some(SoftState { placed, counts })
