--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -184,7 +184,7 @@
     let control = Rc::new(Control {
         secret: seal::Secret::fleet(&shared.settings.fleet_secret),
         exchange: RefCell::new(open_exchange(&shared)),
-        outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.window_ms())),
+        outbox: RefCell::new(delivery::Outbox::new(shared.boot, shared.billing_window_ms())),
         settled: RefCell::default(),
         sharers: Cell::default(),
         platform: platform(),
@@ -323,7 +323,7 @@
         for endpoint in directory.endpoints() {
             let old = before.find(endpoint.key);
             if old.is_some_and(|old| old.started_unix_ms != endpoint.started_unix_ms) {
-                self.shared.homes().remove_endpoint(endpoint.key);
+                self.shared.prefix_locations().remove_endpoint(endpoint.key);
             }
             if old.is_none_or(|old| old != endpoint) {
                 slog::info!(self.log, "endpoint known"; "endpoint" => endpoint.id.as_str(),
@@ -338,11 +338,11 @@
             |cold: &directory::Cold| before.cold_until_ms(cold.endpoint, now_ms).is_none();
         for cold in directory.cold(now_ms).into_iter().filter(is_news) {
             let id = directory.find(cold.endpoint).map(|endpoint| endpoint.id.as_str());
-            slog::info!(self.log, "endpoint cold"; "endpoint" => id, "left_ms" => cold.left_ms,
+            slog::info!(self.log, "endpoint cold"; "endpoint" => id, "left_ms" => cold.remaining_ms,
                 "revision" => directory.revision(), "source" => source);
         }
         for old in before.endpoints().iter().filter(|old| directory.find(old.key).is_none()) {
-            self.shared.homes().remove_endpoint(old.key);
+            self.shared.prefix_locations().remove_endpoint(old.key);
             slog::info!(self.log, "endpoint gone"; "endpoint" => old.id.as_str(),
                 "revision" => directory.revision(), "source" => source);
         }
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -21,7 +21,7 @@
         let key = endpoint.key;
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
-            && !self.departures.has(endpoint)
+            && !self.departures.contains(endpoint)
             && self.backoff.remaining_ms(endpoint, self.now_ms) == 0
     }
 }
@@ -47,7 +47,7 @@
         let now_ms = self.now_ms();
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
-        let endpoints = snapshot.taking(&job.service().name, job.moving_key(), now_ms);
+        let endpoints = snapshot.accepting(&job.service().name, job.moving_key(), now_ms);
         endpoints.map(|endpoint| backoff.remaining_ms(endpoint, now_ms)).min().unwrap_or(0)
     }
 }
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -46,7 +46,7 @@
     pub is_stopping: bool,
     pub lease: Option<lease::Told>,
     pub gate: admission::Ages,
-    pub evacuations: evacuation::Told,
+    pub evacuations: evacuation::Snapshot,
     pub limits: Vec<limits::LimitUpdate>,
     /// The newest change of an endpoint's limit.
     pub limits_stamp: u64,
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -245,7 +245,7 @@
             }
             Message::Departures(departures) => {
                 for departure in departures {
-                    node.departures.note(departure, now_ms);
+                    node.departures.record(departure, now_ms);
                 }
             }
             Message::Counts { from, counts } => {
@@ -369,10 +369,10 @@
         is_stopping: node.is_stopping,
         lease: None,
         gate: admission::AdmissionControl::default().ages(now_ms),
-        evacuations: node.evacuations.told(now_ms),
+        evacuations: node.evacuations.snapshot(now_ms),
         limits: node.limits.updates(now_ms),
         limits_stamp: node.limits.newest_stamp(),
-        departures: node.departures.told(now_ms),
+        departures: node.departures.recent(now_ms),
     }
 }
 
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -159,7 +159,7 @@
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
     let mut peer = directory.clone();
-    assert!(directory.follow([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(directory.apply_events([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
     let key = EndpointKey::of("one");
     assert_eq!(directory.cold_until_ms(key, 50_100), Some(53_000));
     let cold = directory.cold(50_200);
@@ -174,14 +174,14 @@
 fn heartbeats_of_a_cold_endpoint_are_no_change() {
     let mut directory = Directory::default();
     directory.replace(vec![endpoint("one")], 10, None);
-    assert!(directory.follow([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
-    assert!(!directory.follow([event("one", 1_900, 12)].into_iter(), 12, None, 51_300));
+    assert!(directory.apply_events([event("one", 3_000, 11)].into_iter(), 11, None, 50_000));
+    assert!(!directory.apply_events([event("one", 1_900, 12)].into_iter(), 12, None, 51_300));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 51_300), Some(53_000));
     assert!(
-        directory.follow([event("one", 3_000, 13)].into_iter(), 13, None, 52_000),
+        directory.apply_events([event("one", 3_000, 13)].into_iter(), 13, None, 52_000),
         "cold again"
     );
-    assert!(!directory.follow([event("one", 0, 14)].into_iter(), 14, None, 52_500));
+    assert!(!directory.apply_events([event("one", 0, 14)].into_iter(), 14, None, 52_500));
     assert_eq!(directory.cold_until_ms(EndpointKey::of("one"), 52_500), None);
 }
 
