--- a/src/control.rs
+++ b/src/control.rs
@@ -1,8 +1,8 @@
-//! The control thread of a daemon: keeps its copy of the shared state up to date and hands
+//! The control thread of a daemon: keeps its copy of the shared state up to date and publishes
 //! snapshots of it to the traffic threads.
 //!
-//! In come digests and pulls of peers and, in the few daemons that read for their zone, objects of
-//! the store. Out go snapshots, digests and news. Nothing on a request's path waits for it.
+//! Its inputs are digests and pulls from peers and, in the few daemons that read the store for their
+//! zone, objects of the store. Its outputs are snapshots, digests and updates. No request waits for it.
 
 mod peers;
 mod reader;
@@ -20,22 +20,22 @@
 
 use crate::{bound, duties, gossip, hub, membership, platform, seal, settings, store, wire};
 
-/// Peers told at once when something changed here.
+/// Peers that get a digest immediately after a local change.
 const RUMOR_PEERS: usize = 3;
-/// Daemons of a zone that read the store for the others.
+/// Daemons of a zone that read the store on behalf of the others.
 const READERS_PER_ZONE: usize = 2;
-/// How long no read of the store is heard of before the next daemon in rank reads, and how much
-/// longer for each rank. A reader's watch answers at least every ten seconds.
-const READS_SILENT_MS: u64 = 12_500;
-const READS_SILENT_RANK_MS: u64 = 2_000;
+/// Time without a known read of the store after which other daemons start to read, and the extra
+/// time per rank. A reader's watch answers at least every 10 s.
+const READER_TIMEOUT_MS: u64 = 12_500;
+const READER_TIMEOUT_PER_RANK_MS: u64 = 2_000;
 
-/// What a daemon says of itself.
+/// The part of a daemon's record that depends on its program and its start.
 #[derive(Clone, Debug)]
 pub struct Identity {
     pub role: membership::Role,
     pub work_addr: Option<SocketAddr>,
     pub endpoints: Vec<membership::Endpoint>,
-    /// Tells one start of the daemon from another.
+    /// Distinguishes starts of the same daemon.
     pub boot: u64,
 }
 
@@ -52,20 +52,21 @@
     shared: RefCell<gossip::SharedState>,
     socket: UdpSocket,
     pulls: RefCell<HashSet<SocketAddr>>,
-    heard_peer: Cell<bool>,
-    read_store: Cell<bool>,
-    /// A digest of another fleet has come: one of the two may have taken the wrong one for its own.
-    doubts_fleet: Cell<bool>,
-    /// The store itself has told which fleet this is.
-    read_fleet: Cell<bool>,
-    /// When a read of the store by any daemon was last heard of.
-    reads_grew_ms: Cell<u64>,
+    has_peer_state: Cell<bool>,
+    has_store_state: Cell<bool>,
+    /// A digest with another fleet id has arrived before this daemon read its own id from the store,
+    /// so this daemon's id may be wrong.
+    fleet_id_in_doubt: Cell<bool>,
+    /// The fleet id was read from the store, not learned from a peer.
+    fleet_id_confirmed: Cell<bool>,
+    /// When the count of store reads by all daemons last grew.
+    last_store_read_ms: Cell<u64>,
 }
 
 /// Exit code of a daemon whose control thread has ended.
 const EXIT_CONTROL: i32 = 70;
 
-/// Starts the control thread. It ends with the process, and the process with it.
+/// Starts the control thread. The process exits when the thread ends.
 ///
 /// # Errors
 /// When the thread cannot be started.
@@ -82,8 +83,8 @@
         if let Err(error) = outcome {
             slog::crit!(log, "control thread ended"; "error" => format!("{error:#}"));
         }
-        // Traffic would go on by what was known last: withdrawn keys would work for ever, and the
-        // readiness would still say that all is well. Ended, the daemon is replaced.
+        // Without this thread the daemon would serve traffic from its last snapshot: withdrawn keys
+        // would stay valid and readiness would still be reported. The exit gets the daemon replaced.
         std::process::exit(EXIT_CONTROL);
     })?;
     Ok(())
@@ -98,15 +99,15 @@
 ) -> anyhow::Result<()> {
     let control = Rc::new(Control {
         secret: seal::Secret::fleet(&settings.fleet_secret),
-        me: RefCell::new(first_record(&settings, &identity)),
+        me: RefCell::new(initial_record(&settings, &identity)),
         shared: RefCell::default(),
         socket: UdpSocket::from_std(sockets.udp)?,
         pulls: RefCell::default(),
-        heard_peer: Cell::new(false),
-        read_store: Cell::new(false),
-        doubts_fleet: Cell::new(false),
-        read_fleet: Cell::new(false),
-        reads_grew_ms: Cell::new(0),
+        has_peer_state: Cell::new(false),
+        has_store_state: Cell::new(false),
+        fleet_id_in_doubt: Cell::new(false),
+        fleet_id_confirmed: Cell::new(false),
+        last_store_read_ms: Cell::new(0),
         platform: platform::Platform::open(&settings.platform_url).await?,
         boot: identity.boot,
         settings,
@@ -114,17 +115,17 @@
         log,
     });
     let listener = TcpListener::from_std(sockets.tcp)?;
-    control.write_own_record();
+    control.publish_own_record();
     task::spawn_local(peers::serve_pulls(Rc::clone(&control), listener));
     task::spawn_local(peers::receive_datagrams(Rc::clone(&control)));
     task::spawn_local(reader::start(Rc::clone(&control)));
     task::spawn_local(reader::read_roster(Rc::clone(&control)));
     duties::spawn(&control, identity.role);
-    peers::compare_digests(control).await;
+    peers::send_digests_periodically(control).await;
     Ok(())
 }
 
-fn first_record(settings: &settings::Daemon, identity: &Identity) -> membership::Member {
+fn initial_record(settings: &settings::Daemon, identity: &Identity) -> membership::Member {
     membership::Member {
         id: settings.id.clone(),
         version: hub::unix_ms() * 1000,
@@ -141,13 +142,13 @@
 }
 
 impl Control {
-    /// This daemon's record as it stands.
+    /// Returns a copy of this daemon's current record.
     #[must_use]
     pub fn me(&self) -> membership::Member {
         self.me.borrow().clone()
     }
 
-    /// The key that seals messages of this fleet.
+    /// The key that seals this fleet's messages.
     #[must_use]
     pub fn secret(&self) -> &seal::Secret {
         &self.secret
@@ -158,42 +159,43 @@
         read(&self.shared.borrow())
     }
 
-    /// Notes whether the store answered.
+    /// Counts a store call and records whether the store is up; logs each change.
     pub fn record_store_outcome<T>(&self, outcome: &Result<T, store::Failure>) {
         self.hub.store_calls.fetch_add(1, Ordering::Relaxed);
         let up = !matches!(outcome, Err(store::Failure::Down | store::Failure::NoAnswer));
         if self.hub.store_up.swap(up, Ordering::Relaxed) != up {
-            slog::warn!(self.log, "store"; "up" => up);
+            slog::warn!(self.log, "store availability changed"; "up" => up);
         }
     }
 
     /// Whether this daemon reads the store for its zone.
     ///
-    /// The readers of the zone may have died, and a dead daemon's record looks like a live one's.
-    /// Then no change would reach the zone any more, and nothing would say so. Reads are counted in
-    /// the digests; when the count has not grown for a while, the next daemon in rank reads, later
-    /// ones after a longer while, so that an outage of the store does not bring them all to it.
+    /// The zone's readers may have crashed, and a crashed daemon's record looks like a live one's.
+    /// Changes would then no longer reach the zone, and nothing would report it. Digests therefore
+    /// carry a count of reads. When the count has not grown for a while, the next daemon in rank
+    /// reads. Each later rank waits longer, so that not all daemons call the store in an outage.
     #[must_use]
     pub fn is_reader(&self) -> bool {
         let rank = membership::reader_rank(&self.shared.borrow().fleet, &self.me.borrow());
-        let silent_ms = self.hub.now_ms().saturating_sub(self.reads_grew_ms.get());
-        rank < READERS_PER_ZONE || silent_ms > READS_SILENT_MS + rank as u64 * READS_SILENT_RANK_MS
+        let silent_ms = self.hub.now_ms().saturating_sub(self.last_store_read_ms.get());
+        rank < READERS_PER_ZONE
+            || silent_ms > READER_TIMEOUT_MS + rank as u64 * READER_TIMEOUT_PER_RANK_MS
     }
 
-    /// Somebody has read the store, as far as this count of reads.
-    fn reads_grew(&self, reads: u64) {
+    /// Takes over a higher count of store reads and the time at which it arrived.
+    fn raise_store_reads(&self, reads: u64) {
         if reads > self.shared.borrow().reads {
             self.shared.borrow_mut().reads = reads;
-            self.reads_grew_ms.set(self.hub.now_ms());
+            self.last_store_read_ms.set(self.hub.now_ms());
         }
     }
 
-    fn write_own_record(&self) {
+    fn publish_own_record(&self) {
         let changed = {
             let mut shared = self.shared.borrow_mut();
             let mut me = self.me.borrow_mut();
-            // A record of a former start may be greater than ours, if the clock went back in
-            // between. Peers would then ignore us for as long; so we go above it.
+            // A record of an earlier start may have a higher version if the clock went back since.
+            // Peers would ignore the new record until the clock catches up, so raise its version.
             if let Some(known) = shared.fleet.find(&me.id) {
                 me.version = me.version.max(known.version + 1);
             }
@@ -204,40 +206,43 @@
         }
     }
 
-    /// Whether a peer may tell this daemon which fleet it belongs to: a seed, or anybody while the store can't.
+    /// Whether this daemon adopts a fleet id from the peer: only from a seed, or from any peer while
+    /// the store is down.
     fn is_trusted(&self, peer: SocketAddr) -> bool {
         self.settings.seeds.contains(&peer) || !self.hub.store_up.load(Ordering::Relaxed)
     }
 
-    /// The store tells which fleet this is.
-    fn set_fleet(&self, fleet_id: u64) {
+    /// Sets the fleet id that was read from the store.
+    fn confirm_fleet_id(&self, fleet_id: u64) {
         self.shared.borrow_mut().fleet_id = Some(fleet_id);
-        self.read_fleet.set(true);
+        self.fleet_id_confirmed.set(true);
     }
 
-    /// Forgets what was learnt from peers of another fleet.
-    fn begin_anew(&self, fleet_id: u64) {
-        slog::error!(self.log, "peers of another fleet, all forgotten"; "fleet" => fleet_id);
+    /// Discards the state learned from peers of another fleet.
+    fn reset_to_fleet(&self, fleet_id: u64) {
+        slog::error!(self.log, "fleet id differs from the store's; discarded all state learned from peers"; "fleet" => fleet_id);
         *self.shared.borrow_mut() = gossip::SharedState::of_fleet(fleet_id);
-        self.write_own_record();
+        self.publish_own_record();
     }
 
-    fn take(&self, change: impl FnOnce(&mut gossip::SharedState) -> gossip::Changed) {
+    /// Applies a change to the shared state and publishes the result if something changed.
+    fn apply(&self, change: impl FnOnce(&mut gossip::SharedState) -> gossip::Changed) {
         let changed = change(&mut self.shared.borrow_mut());
         if !changed.any() {
             return;
         }
-        let impostor = {
+        // A peer may know a record of this daemon from an earlier start; the current one replaces it.
+        let is_superseded = {
             let (shared, me) = (self.shared.borrow(), self.me.borrow());
             shared.fleet.find(&me.id).is_some_and(|known| *known != *me)
         };
-        if impostor {
-            self.write_own_record();
+        if is_superseded {
+            self.publish_own_record();
         }
         self.publish(changed);
     }
 
-    /// Hands the new state to the traffic threads and tells a few peers at once.
+    /// Publishes the new state to the traffic threads and sends digests to a few peers immediately.
     fn publish(&self, changed: gossip::Changed) {
         let snapshot = {
             let shared = self.shared.borrow();
@@ -265,21 +270,21 @@
     }
 
     fn update_ready(&self) {
-        // A daemon that starts while the store serves an old read could put an old configuration
-        // in force. It waits until it heard a peer or, where there is none, the store itself.
-        let informed = self.heard_peer.get() || self.read_store.get();
+        // A starting daemon could apply an old configuration from a stale read. It becomes ready only
+        // after it is in sync with a peer or has listed the store itself.
+        let has_fresh_state = self.has_peer_state.get() || self.has_store_state.get();
         let has_config = self.shared.borrow().config.is_some();
-        self.hub.ready.store(informed && has_config, Ordering::Release);
+        self.hub.ready.store(has_fresh_state && has_config, Ordering::Release);
     }
 
     fn send_digests(&self, count: usize) {
-        let addrs = self.some_peers(count);
+        let addrs = self.sample_peers(count);
         for addr in addrs {
             self.send_digest(addr, false);
         }
     }
 
-    fn some_peers(&self, count: usize) -> Vec<SocketAddr> {
+    fn sample_peers(&self, count: usize) -> Vec<SocketAddr> {
         let shared = self.shared.borrow();
         let own = self.settings.peer_addr;
         let known: Vec<SocketAddr> = shared
@@ -302,11 +307,11 @@
             return;
         };
         self.hub.bytes_out.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-        // A datagram that does not leave is like one that was lost: the next second repairs it.
+        // A failed send is treated like a lost datagram: the next round, a second later, repairs it.
         let _ = self.socket.try_send_to(&bytes, addr);
     }
 
-    /// Sets the state this daemon tells the others.
+    /// Sets the state in this daemon's record and publishes the record.
     fn set_state(&self, state: membership::State) {
         {
             let mut me = self.me.borrow_mut();
@@ -316,6 +321,6 @@
             me.state = state;
             me.version += 1;
         }
-        self.write_own_record();
+        self.publish_own_record();
     }
 }
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -1,4 +1,5 @@
-//! The control thread's sockets: digests out and in, pulls made and served.
+//! Gossip with peers over the control thread's sockets: sends and receives digests, makes and
+//! serves pulls.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,14 +13,14 @@
 use super::Control;
 use crate::{link, membership, metric, seal, wire};
 
-/// How often a daemon compares digests with peers.
+/// Interval at which a daemon sends digests to peers.
 const DIGEST_MS: u64 = 1_000;
-/// Peers a digest goes to each time.
+/// Peers that get a digest in each round.
 const DIGEST_PEERS: usize = 2;
-/// Pulls under way at the same time.
+/// Maximum number of concurrent pulls.
 const MAX_PULLS: usize = 4;
 
-pub(super) async fn compare_digests(control: Rc<Control>) {
+pub(super) async fn send_digests_periodically(control: Rc<Control>) {
     loop {
         let jitter_ms = rand::random_range(0..DIGEST_MS / 5);
         time::sleep(Duration::from_millis(DIGEST_MS - DIGEST_MS / 10 + jitter_ms)).await;
@@ -47,39 +48,39 @@
 fn receive_digest(control: &Rc<Control>, digest: &membership::Digest) {
     if control.with_shared(|shared| shared.is_foreign(digest.fleet_id)) {
         metric::count_reject(seal::Reject::Fleet);
-        control.doubts_fleet.set(!control.read_fleet.get());
+        control.fleet_id_in_doubt.set(!control.fleet_id_confirmed.get());
         return;
     }
     match (control.with_shared(|shared| shared.fleet_id), digest.fleet_id) {
-        // It knows nothing yet, perhaps not whose address it was given.
+        // The sender has no fleet id yet and may have been given an address of another fleet.
         (Some(_), None) => {
             if !digest.is_answer {
                 control.send_digest(digest.sender, true);
             }
             return;
         }
-        // Whoever asks here may take this daemon for one that had its address before.
+        // The sender may address a daemon of another fleet that had this address before.
         (None, Some(_)) if !control.is_trusted(digest.sender) => return,
         _ => {}
     }
-    control.reads_grew(digest.reads);
+    control.raise_store_reads(digest.reads);
     let (behind, ahead) = {
         let shared = control.shared.borrow();
         (shared.is_behind(digest), shared.is_ahead(digest))
     };
     if behind {
-        pull_soon(control, digest.sender);
+        spawn_pull(control, digest.sender);
     }
     if ahead && !digest.is_answer {
         control.send_digest(digest.sender, true);
     }
     if !behind && control.shared.borrow().config.is_some() {
-        control.heard_peer.set(true);
+        control.has_peer_state.set(true);
         control.update_ready();
     }
 }
 
-pub(super) fn pull_soon(control: &Rc<Control>, addr: SocketAddr) {
+pub(super) fn spawn_pull(control: &Rc<Control>, addr: SocketAddr) {
     {
         let mut pulls = control.pulls.borrow_mut();
         if pulls.len() >= MAX_PULLS || !pulls.insert(addr) {
@@ -90,7 +91,7 @@
     task::spawn_local(async move {
         let pulled = time::timeout(Duration::from_millis(2 * link::OPEN_MS), pull(&control, addr));
         if let Ok(Ok(())) = pulled.await {
-            control.heard_peer.set(true);
+            control.has_peer_state.set(true);
             control.update_ready();
         }
         control.pulls.borrow_mut().remove(&addr);
@@ -103,11 +104,11 @@
     loop {
         let pull = control.shared.borrow().pull();
         link.outbox.send(&pull);
-        let Some(news) = link.inbox.next::<wire::Update>().await? else {
+        let Some(update) = link.inbox.next::<wire::Update>().await? else {
             break;
         };
-        let more = news.more_keys;
-        control.take(|shared| shared.merge_update(news));
+        let more = update.more_keys;
+        control.apply(|shared| shared.merge_update(update));
         if !more {
             break;
         }
@@ -125,7 +126,7 @@
         let control = Rc::clone(&control);
         task::spawn_local(async move {
             let served = serve_pull(&control, stream);
-            // A peer that greets and then says nothing must not be kept for ever.
+            // Bounds the time for a peer that greets and then sends nothing.
             let _ = time::timeout(Duration::from_millis(4 * link::OPEN_MS), served).await;
         });
     }
@@ -138,8 +139,8 @@
             metric::count_reject(seal::Reject::Fleet);
             break;
         }
-        let news = control.shared.borrow().update_for(&pull);
-        link.outbox.send(&news);
+        let update = control.shared.borrow().update_for(&pull);
+        link.outbox.send(&update);
         let sent = link.outbox.backlog_bytes() as u64;
         control.hub.bytes_out.fetch_add(sent, Ordering::Relaxed);
     }
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -1,5 +1,5 @@
-//! Reading the store: by every daemon that starts without peers, and then by the few readers of a
-//! zone for all the others.
+//! Store reads of the control thread. A daemon that starts without peers reads the store once; after
+//! that a few readers per zone read it on behalf of the others.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -11,21 +11,21 @@
 use crate::store::ObjectStore;
 use crate::{gossip, store};
 
-/// How often a daemon that does not read looks whether it should.
+/// Interval at which a daemon that does not read checks whether it should.
 const RECHECK_MS: u64 = 1_000;
-/// How often a reader looks at the platform's lagging list.
+/// Interval at which a reader fetches the platform's lagging instance list; jitter is added.
 const ROSTER_MS: u64 = 2_000;
-/// Longest a reader waits before it tries a store again that was down; with jitter below.
+/// Maximum delay before a reader retries a failed store; the delay is random below it.
 const STORE_RETRY_MS: u64 = 4_000;
-/// Largest step by which a read raises the count of reads.
+/// Maximum step by which one read raises the count of reads.
 const COUNT_STEP: u64 = 1 << 20;
-/// How long a starting daemon waits for peers before it reads the store itself.
+/// Time a starting daemon gives its peers before it reads the store itself.
 const PEERS_FIRST_MS: u64 = 700;
 
 pub(super) async fn start(control: Rc<Control>) {
     for addr in control.settings.seeds.clone() {
         if addr != control.settings.peer_addr {
-            peers::pull_soon(&control, addr);
+            peers::spawn_pull(&control, addr);
         }
     }
     time::sleep(Duration::from_millis(PEERS_FIRST_MS)).await;
@@ -33,7 +33,7 @@
         let knows_fleet = control.with_shared(|shared| shared.fleet_id.is_some());
         let is_needed = !control.hub.ready.load(Ordering::Acquire)
             || !knows_fleet
-            || control.doubts_fleet.take();
+            || control.fleet_id_in_doubt.take();
         if control.is_reader() || is_needed {
             read_store(&control).await;
         } else {
@@ -44,19 +44,19 @@
 
 /// Lists the shared objects and then watches them, for as long as this daemon is a reader.
 async fn read_store(control: &Rc<Control>) {
-    // One that reads only because it has no configuration yet does not stay.
-    let stays = control.is_reader();
-    // A daemon that stands in for dead readers and finds the store down waits its turn again.
-    control.reads_grew_ms.set(control.hub.now_ms());
+    // A daemon that reads only to bootstrap or to check its fleet id does not go on to watch.
+    let continues = control.is_reader();
+    // If the store is down, a daemon that replaces crashed readers waits for its rank's delay again.
+    control.last_store_read_ms.set(control.hub.now_ms());
     let listed = control.platform.list(store::SHARED_PREFIX).await;
     control.record_store_outcome(&listed);
     let Ok(listing) = listed else { return wait_for_store().await };
-    control.read_store.set(true);
-    know_fleet(control, &listing).await;
+    control.has_store_state.set(true);
+    adopt_fleet_id(control, &listing).await;
     let mut after = listing.revision;
-    let mut counted = take(control, listing);
+    let mut read_count = merge_listing(control, listing);
     control.update_ready();
-    if !stays {
+    if !continues {
         return wait_for_store().await;
     }
     loop {
@@ -64,45 +64,45 @@
         control.record_store_outcome(&watched);
         let Ok(listing) = watched else { return wait_for_store().await };
         if listing.revision < after {
-            // The store answers from an older state than it listed; start over with a listing.
+            // The store answered from a state older than its listing; start over with a listing.
             return wait_for_store().await;
         }
         after = listing.revision;
-        // Looked at before this read is counted: one that stands in goes on while nobody else reads.
-        let others_read = control.with_shared(|shared| shared.reads) > counted;
-        counted = take(control, listing);
+        // Compared before this read is read_count: a replacement reader goes on while no other daemon reads.
+        let others_read = control.with_shared(|shared| shared.reads) > read_count;
+        read_count = merge_listing(control, listing);
         if others_read && !control.is_reader() {
             return wait_for_store().await;
         }
     }
 }
 
-/// Believes the store on which fleet this is, and writes the fleet's number if there is none yet.
-async fn know_fleet(control: &Control, listing: &store::Listing) {
+/// Adopts the fleet id from the store, and writes one if the store has none yet.
+async fn adopt_fleet_id(control: &Control, listing: &store::Listing) {
     let listed = listing.objects.iter().find(|object| object.key == store::FLEET_KEY);
-    let named = match listed {
+    let fleet_id_text = match listed {
         Some(object) => Ok(object.value.clone()),
-        None => name_fleet(control).await,
+        None => create_fleet_id(control).await,
     };
-    let fleet_id = match named.map(|text| text.parse::<u64>()) {
+    let fleet_id = match fleet_id_text.map(|text| text.parse::<u64>()) {
         Ok(Ok(fleet_id)) => fleet_id,
         Ok(Err(error)) => {
-            slog::error!(control.log, "fleet's number not readable"; "error" => error.to_string());
+            slog::error!(control.log, "fleet id in the store is not a number"; "error" => error.to_string());
             return;
         }
         Err(failure) => {
-            slog::info!(control.log, "fleet's number not written"; "failure" => failure.to_string());
+            slog::info!(control.log, "cannot write or read the fleet id in the store"; "failure" => failure.to_string());
             return;
         }
     };
     if control.with_shared(|shared| shared.is_foreign(Some(fleet_id))) {
-        control.begin_anew(fleet_id);
+        control.reset_to_fleet(fleet_id);
     }
-    control.set_fleet(fleet_id);
+    control.confirm_fleet_id(fleet_id);
 }
 
-/// Writes the fleet's number, or reads what another daemon wrote first.
-async fn name_fleet(control: &Control) -> Result<String, store::Failure> {
+/// Writes a new fleet id, or reads the one that another daemon wrote first.
+async fn create_fleet_id(control: &Control) -> Result<String, store::Failure> {
     let number = rand::random::<u64>().to_string();
     let condition = store::Condition::Absent;
     match control.platform.put(store::FLEET_KEY, number.clone(), condition).await {
@@ -115,19 +115,20 @@
     }
 }
 
-/// Takes in what was read, and counts the read for all to hear of; gives the count.
-fn take(control: &Control, listing: store::Listing) -> u64 {
-    // All watches answer to the same change at the same moment. Were each to count one, all would
-    // come to the same count, and each stand-in would take itself for the only reader for ever.
-    let counted = control.with_shared(|shared| shared.reads) + rand::random_range(1..=COUNT_STEP);
-    control.reads_grew(counted);
-    control.take(|shared| shared.merge_objects(listing.objects));
-    counted
+/// Merges a listing and raises the gossiped count of store reads; returns the new count.
+fn merge_listing(control: &Control, listing: store::Listing) -> u64 {
+    // All watches return on the same change at the same time. If each reader added 1, all would reach
+    // the same count, and every replacement reader would assume for ever that no other daemon reads.
+    let read_count =
+        control.with_shared(|shared| shared.reads) + rand::random_range(1..=COUNT_STEP);
+    control.raise_store_reads(read_count);
+    control.apply(|shared| shared.merge_objects(listing.objects));
+    read_count
 }
 
 async fn wait_for_store() {
-    // All readers lose the store at the same moment. Without jitter they would come back to it at
-    // the same moment too, and its first minute would be its worst.
+    // All readers lose the store at the same time. Without jitter they would all retry at the same
+    // time too, and overload the store in the first minute after its recovery.
     let wait_ms = rand::random_range(STORE_RETRY_MS / 8..STORE_RETRY_MS);
     time::sleep(Duration::from_millis(wait_ms)).await;
 }
@@ -142,7 +143,7 @@
         let read = control.platform.roster().await;
         control.hub.store_calls.fetch_add(1, Ordering::Relaxed);
         if let Ok(roster) = read {
-            control.take(|shared| gossip::Changed {
+            control.apply(|shared| gossip::Changed {
                 roster: shared.merge_roster(roster),
                 ..Default::default()
             });
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,8 +1,8 @@
-//! What all daemons share, and how two of them bring each other up to date.
+//! The state that all daemons share, and the gossip protocol that replicates it between two of them.
 //!
-//! Pure: digests, pulls and news go in and come out as values. Every part has a version that only
-//! grows, and a lower one is never taken, whoever offers it: that is what keeps an accepted
-//! configuration from reverting through a lagging store, a slow peer or a restarted daemon.
+//! This module does no I/O: digests, pulls and updates are plain values. Every part has a version that
+//! only grows, and a lower version is never merged, whatever its source. This keeps a lagging store, a
+//! slow peer or a restarted daemon from reverting an accepted configuration.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 
 use crate::{config, jsonc, keys, membership, platform, store, wire};
 
-/// Keys in one frame of news.
-const KEYS_PER_NEWS: usize = 4_000;
+/// Maximum number of keys in one update.
+const MAX_KEYS_PER_UPDATE: usize = 4_000;
 
-/// A configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     pub version: u64,
@@ -23,14 +23,14 @@
     pub model: Arc<config::Config>,
 }
 
-/// A configuration that was not taken, and why.
+/// A configuration that was rejected, and why.
 #[derive(Clone, Debug)]
 pub struct RejectedConfig {
     pub version: u64,
     pub mistake: jsonc::Mistake,
 }
 
-/// What changed when something was taken in.
+/// Which parts of the shared state a merge changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Changed {
     pub config: bool,
@@ -56,24 +56,24 @@
     }
 }
 
-/// One daemon's copy of what all share.
+/// One daemon's replica of the shared state.
 #[derive(Clone, Debug, Default)]
 pub struct SharedState {
-    /// The number in the fleet's store, once known.
+    /// The fleet id from the fleet's store, once known.
     pub fleet_id: Option<u64>,
     pub config: Option<ActiveConfig>,
-    /// The newest text seen, good or not; a bad one is passed on so that all agree to refuse it.
+    /// The newest text seen, valid or not; an invalid one is replicated so that all daemons reject it.
     newest: Option<wire::ConfigText>,
     pub refused: Option<RejectedConfig>,
     pub keys: Arc<keys::Table>,
     pub roster: platform::Roster,
     pub fleet: membership::Fleet,
-    /// Reads of the store by any daemon, as far as known.
+    /// Highest known count of store reads by all daemons.
     pub reads: u64,
 }
 
 impl SharedState {
-    /// Nothing is known but the fleet's number.
+    /// Empty state of which only the fleet id is known.
     #[must_use]
     pub fn of_fleet(fleet_id: u64) -> Self {
         Self { fleet_id: Some(fleet_id), ..Self::default() }
@@ -83,7 +83,7 @@
         self.newest.as_ref().map_or(0, |newest| newest.version)
     }
 
-    /// What peers compare.
+    /// Summary of this state for comparison by a peer.
     #[must_use]
     pub fn digest(&self, sender: SocketAddr, is_answer: bool) -> membership::Digest {
         membership::Digest {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Whether the sender of a digest has something that is not here.
+    /// Whether the sender of a digest may have state that is missing here.
     #[must_use]
     pub fn is_behind(&self, theirs: &membership::Digest) -> bool {
         theirs.config_version > self.config_version()
@@ -107,7 +107,7 @@
             || theirs.fleet != self.fleet.digest()
     }
 
-    /// Whether something here may be missing at the sender of a digest.
+    /// Whether the sender of a digest may lack state that is known here.
     #[must_use]
     pub fn is_ahead(&self, theirs: &membership::Digest) -> bool {
         theirs.config_version < self.config_version()
@@ -116,7 +116,7 @@
             || theirs.fleet != self.fleet.digest()
     }
 
-    /// What to ask a peer for.
+    /// The pull that asks a peer for everything newer than this state.
     #[must_use]
     pub fn pull(&self) -> wire::Pull {
         wire::Pull {
@@ -128,12 +128,12 @@
         }
     }
 
-    /// What a pulling peer lacks.
+    /// The update with what a pulling peer lacks.
     #[must_use]
     pub fn update_for(&self, pull: &wire::Pull) -> wire::Update {
         let mut keys = self.keys.after(pull.keys_revision);
-        let more_keys = keys.len() > KEYS_PER_NEWS;
-        keys.truncate(KEYS_PER_NEWS);
+        let more_keys = keys.len() > MAX_KEYS_PER_UPDATE;
+        keys.truncate(MAX_KEYS_PER_UPDATE);
         let newest = self.newest.as_ref();
         wire::Update {
             fleet_id: self.fleet_id,
@@ -145,42 +145,42 @@
         }
     }
 
-    /// Whether what bears this number is of another fleet.
+    /// Whether a message with this fleet id comes from another fleet.
     ///
-    /// A daemon may be given an address that one of another fleet has left, and be told what those who still
-    /// know the address believe. Versions of another store say nothing here: its text would be put in force, and
-    /// keys of this fleet would be passed over as old.
+    /// A daemon may get an address that a daemon of another fleet used before, and then receives state
+    /// from peers that still know the address. Versions of two stores can't be compared: the other
+    /// fleet's configuration would be applied, and keys of this fleet would be ignored as old.
     #[must_use]
     pub fn is_foreign(&self, fleet_id: Option<u64>) -> bool {
         self.fleet_id.zip(fleet_id).is_some_and(|(mine, theirs)| mine != theirs)
     }
 
-    /// Takes in a peer's news.
-    pub fn merge_update(&mut self, news: wire::Update) -> Changed {
+    /// Merges a peer's update.
+    pub fn merge_update(&mut self, update: wire::Update) -> Changed {
         let mut changed = Changed::default();
-        if self.is_foreign(news.fleet_id) {
+        if self.is_foreign(update.fleet_id) {
             return changed;
         }
-        self.fleet_id = self.fleet_id.or(news.fleet_id);
-        if let Some(text) = news.config {
+        self.fleet_id = self.fleet_id.or(update.fleet_id);
+        if let Some(text) = update.config {
             changed.config = self.merge_config(text);
         }
-        for key in news.keys {
+        for key in update.keys {
             changed.keys |= Arc::make_mut(&mut self.keys).take(key);
         }
-        if let Some(roster) = news.roster {
+        if let Some(roster) = update.roster {
             changed.roster = self.merge_roster(roster);
         }
-        for member in news.members {
+        for member in update.members {
             changed.members |= self.fleet.merge(member);
         }
         changed
     }
 
-    /// Takes in objects read from the store under the shared prefix.
+    /// Merges objects read from the store under the shared prefix.
     ///
-    /// They must come in the order of their versions, and complete from the last one taken: the
-    /// keys' revision says that all keys up to it are known.
+    /// The objects of successive calls must be in order of their versions and without gaps: the
+    /// revision of the key table means that all keys up to it are known.
     pub fn merge_objects(&mut self, mut objects: Vec<store::Object>) -> Changed {
         objects.sort_by_key(|object| object.version);
         let mut changed = Changed::default();
@@ -201,8 +201,8 @@
         changed
     }
 
-    /// Takes in a text unless a newer one is known; a text with a mistake is remembered by its
-    /// version and the last good one stays in force.
+    /// Merges a configuration text unless the same or a newer version is known. An invalid text is
+    /// recorded as rejected, and the last valid one stays active.
     pub fn merge_config(&mut self, text: wire::ConfigText) -> bool {
         if text.version <= self.config_version() {
             return false;
@@ -224,7 +224,7 @@
         true
     }
 
-    /// Takes in the platform's list unless a newer one is known.
+    /// Merges the platform's list unless the same or a newer revision is known.
     pub fn merge_roster(&mut self, roster: platform::Roster) -> bool {
         if roster.revision <= self.roster.revision {
             return false;
@@ -233,7 +233,7 @@
         true
     }
 
-    /// The state as traffic threads use it.
+    /// Builds the snapshot for the traffic threads.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
         let leaving: HashSet<&str> = self
@@ -261,7 +261,7 @@
         .count()
 }
 
-/// Endpoints that take work, by region and service.
+/// Endpoints that accept work, by region and service.
 fn available_endpoints(
     fleet: &membership::Fleet,
     leaving: &HashSet<&str>,
@@ -288,20 +288,20 @@
     compact_str::format_compact!("{region}/{service}")
 }
 
-/// What traffic threads know; replaced whole with each change.
+/// The state as the traffic threads see it; each change replaces it as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     pub config: Option<ActiveConfig>,
     pub keys: Arc<keys::Table>,
-    /// Daemons and endpoints that the platform says are leaving.
+    /// Daemons and endpoints that the platform lists as leaving.
     pub leaving: HashSet<CompactString>,
     endpoints: HashMap<CompactString, Vec<membership::EndpointLocation>>,
-    /// Entries that take requests, in all regions.
+    /// Number of entries that accept requests, in all regions.
     pub entries: usize,
 }
 
 impl Snapshot {
-    /// Endpoints of a service in a region that take work.
+    /// Endpoints of a service in a region that accept work.
     #[must_use]
     pub fn endpoints(&self, region: &str, service: &str) -> &[membership::EndpointLocation] {
         self.endpoints.get(&region_service_key(region, service)).map_or(&[], Vec::as_slice)
