--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,9 +1,9 @@
-//! The fleet as a daemon knows it: who there is, where, in what state.
+//! The fleet as a daemon knows it: the records of all daemons, with their addresses and states.
 //!
-//! Each daemon writes its own record and raises its version with every change; the greatest version
-//! stands. Records change only when something happens (a start, a drain, a stop), never to say
-//! "still alive": that an endpoint answers is learnt by asking it. So the state spreads by digests
-//! alone and costs nothing while nothing changes.
+//! Each daemon writes its own record and raises its version with every change; the highest version
+//! wins. Records change only on events (a start, a drain, a stop). They are no heartbeats: a load
+//! query shows whether an endpoint answers. Replication therefore costs only the digests while nothing
+//! changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 use crate::wire;
 
-/// What a daemon is.
+/// Role of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -24,13 +24,13 @@
     Side,
 }
 
-/// What state a daemon says it is in.
+/// State that a daemon reports in its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
     #[display("ready")]
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Finishes its current work and accepts no new work.
     #[display("draining")]
     Draining,
     /// Stopped, or gone from the platform's list.
@@ -38,7 +38,7 @@
     Gone,
 }
 
-/// An endpoint in front of which a side stands.
+/// An endpoint that a side serves.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Endpoint {
     pub id: CompactString,
@@ -49,11 +49,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
     pub id: CompactString,
-    /// Start time in ms since 1970 times 1000, plus the number of changes since. A restarted
-    /// daemon so begins above its former records, unless its clock went back; then it learns of
-    /// the greater version from its peers and goes above it.
+    /// Start time in ms since 1970, times 1000, plus the number of changes since. A restarted daemon
+    /// thus starts above its earlier records unless its clock went back. In that case it learns the
+    /// higher version from its peers and continues above it.
     pub version: u64,
-    /// Tells one start of the daemon from another.
+    /// Distinguishes starts of the same daemon.
     pub boot: u64,
     pub role: Role,
     pub region: CompactString,
@@ -61,13 +61,13 @@
     pub state: State,
     pub peer_addr: SocketAddr,
     pub admin_addr: SocketAddr,
-    /// Sides only.
+    /// Present for sides only.
     pub work_addr: Option<SocketAddr>,
     pub endpoints: Vec<Endpoint>,
 }
 
 impl Member {
-    /// The endpoints this daemon stands in front of.
+    /// Locations of the endpoints that this daemon serves.
     pub fn endpoint_locations(&self) -> impl Iterator<Item = EndpointLocation> {
         self.work_addr.into_iter().flat_map(move |work_addr| {
             self.endpoints.iter().enumerate().map(move |(index, endpoint)| EndpointLocation {
@@ -85,31 +85,31 @@
     }
 }
 
-/// Names a record and its version in few bytes.
+/// Compact identification of a record and its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     pub id_hash: u64,
     pub version: u64,
 }
 
-/// What two peers compare each second.
+/// Summary of a daemon's shared state, which peers compare each second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
     pub sender: SocketAddr,
-    /// The sender's fleet, once it knows.
+    /// The sender's fleet id, once known.
     pub fleet_id: Option<u64>,
     pub config_version: u64,
     pub keys_revision: u64,
     pub roster_revision: u64,
-    /// Grows with each read of the store by any daemon, as long as somebody reads it.
+    /// Count of store reads by all daemons; grows as long as any daemon reads the store.
     pub reads: u64,
-    /// Equal if both know the same records.
+    /// Digest of the membership records; equal if both peers have the same ones.
     pub fleet: u64,
-    /// An answer to a digest is not answered again.
+    /// Marks an answer to a digest; it is not answered again.
     pub is_answer: bool,
 }
 
-/// All records known.
+/// All known membership records.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     members: BTreeMap<CompactString, Member>,
@@ -117,7 +117,7 @@
 }
 
 impl Fleet {
-    /// Equal for equal sets of records.
+    /// Digest of the records: equal for equal sets.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.digest
@@ -142,12 +142,12 @@
         self.members.values()
     }
 
-    /// Members that have not gone.
+    /// Members whose state is not `Gone`.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.state != State::Gone)
     }
 
-    /// Takes in a record unless it is old; says whether it was taken.
+    /// Merges a record unless the known version is at least as high; returns whether it was merged.
     pub fn merge(&mut self, new: Member) -> bool {
         match self.members.get(&new.id) {
             Some(known) if known.version >= new.version => return false,
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// Records that are newer than, or missing from, the summaries.
+    /// Records that are newer than in the summaries or missing from them.
     #[must_use]
     pub fn newer_than(&self, known: &[Summary]) -> Vec<Member> {
         let known: std::collections::HashMap<u64, u64> =
@@ -178,7 +178,7 @@
     }
 }
 
-/// An endpoint and where its side is.
+/// An endpoint with the address and zone of its side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointLocation {
     pub work_addr: SocketAddr,
@@ -192,11 +192,11 @@
     xxh3::xxh3_64(id.as_bytes())
 }
 
-/// How many daemons of its zone go before a daemon in reading the store for the rest, by rendezvous
-/// hash.
+/// Rank of a daemon among the daemons of its zone as a reader of the store, by rendezvous hashing;
+/// zero is first.
 ///
-/// Nothing is held exclusively. Two daemons that disagree on who there is cost a watch too many or
-/// too few for a while; a daemon that hears nothing new still compares digests with the others.
+/// No lock is involved. While daemons disagree on the membership, there may be one reader too many or
+/// too few; a daemon without a reader still gets the state by comparing digests with its peers.
 #[must_use]
 pub fn reader_rank(fleet: &Fleet, me: &Member) -> usize {
     let mine = reader_weight(&me.id);
@@ -207,7 +207,7 @@
         .count()
 }
 
-/// A daemon's weight in that choice; greater goes before.
+/// Rendezvous weight of a daemon in that ranking; the highest weight is first.
 #[must_use]
 pub fn reader_weight(id: &str) -> u64 {
     xxh3::xxh3_64_with_seed(id.as_bytes(), 0x5eed)
