--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,26 +1,26 @@
-//! Messages between the system's own processes: plain data, encoded as `postcard` by `seal`.
+//! Messages between the daemons: plain data, encoded as `postcard` by `seal`.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
 use crate::{error, keys, lease, membership, platform, trace};
 
-/// Names one request's stream on a link. A slot is used again with a greater generation, so that a
-/// late frame of an earlier request is known and dropped.
+/// Identifies one request's stream on a link. A slot is reused with a higher generation, so that a
+/// late frame of an earlier request is recognized and dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StreamId {
     pub slot: u32,
     pub generation: u32,
 }
 
-/// Which endpoint of a side; its place in the side's settings.
+/// Index of an endpoint in its side's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointIndex(pub u16);
 
-/// Digest of an account's idempotency key for one service.
+/// Digest of an account's idempotency key, specific to one service.
 pub type IdempotencyDigest = [u8; 16];
 
-/// One datagram.
+/// Message in one UDP datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     Ask(Ask),
@@ -29,7 +29,7 @@
     Digest(membership::Digest),
 }
 
-/// When would the first token of such a request start?
+/// Asks a side for the expected time to the first token of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     pub nonce: u64,
@@ -38,39 +38,39 @@
     pub class: CompactString,
     pub account: CompactString,
     pub prompt_tokens: u32,
-    /// Digest of the prompt's head.
+    /// Digest of the prompt's prefix.
     pub prefix: u64,
     pub idempotency: Option<IdempotencyDigest>,
 }
 
-/// How much is there to do? And, for an endpoint that is to be stopped: drain.
+/// Asks a side for an endpoint's load and, if the endpoint is to be stopped, orders it to drain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadAsk {
     pub nonce: u64,
     pub endpoint: EndpointIndex,
     pub service: CompactString,
-    /// Take no new work, by order of the holder of this epoch.
+    /// Orders the endpoint to accept no new work; the epoch is the fencing token of the order.
     pub drain: Option<lease::Epoch>,
 }
 
-/// A side's answer to an ask, out of its own queue.
+/// A side's answer to an ask, computed from its own queue.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Offer {
     pub nonce: u64,
     pub endpoint: EndpointIndex,
     /// Expected time to the first token.
     pub first_token_ms: u32,
-    /// The endpoint takes no new work.
+    /// The endpoint accepts no new work.
     pub leaving: bool,
-    /// The prompt's head was served here lately.
+    /// A prompt with the same prefix was served here recently, so the prefix cache may hold it.
     pub knows_prefix: bool,
-    /// The answer to this idempotency key is held here.
+    /// This side holds the answer for the idempotency key.
     pub holds_answer: bool,
     pub running: u32,
     pub waiting: u32,
 }
 
-/// First frame each way on a link, sealed under the fleet's key.
+/// First frame in each direction of a link, sealed with the fleet's key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Greeting {
     pub daemon: CompactString,
@@ -78,10 +78,10 @@
     pub version: u16,
 }
 
-/// Version of the messages in this module.
+/// Protocol version of the messages in this module.
 pub const VERSION: u16 = 2;
 
-/// What a request asks an endpoint to do.
+/// The HTTP request for the endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     pub method: CompactString,
@@ -99,7 +99,7 @@
     pub value: String,
 }
 
-/// A request on its way to an endpoint.
+/// A request submitted to a side for one of its endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Submit {
     pub stream: StreamId,
@@ -110,23 +110,23 @@
     pub account: CompactString,
     pub key: CompactString,
     pub key_revision: u64,
-    /// Time left until the caller no longer waits.
+    /// Remaining time until the caller's deadline.
     pub deadline_ms: u32,
-    /// Time left until the latency target is missed.
+    /// Remaining time until the latency target is missed.
     pub target_ms: u32,
     pub prompt_tokens: u32,
     pub max_tokens: u32,
     pub prefix: u64,
     pub idempotency: Option<IdempotencyDigest>,
-    /// Digest of method, path and body, to tell another request under the same idempotency key.
+    /// Digest of method, path and body; detects a different request under the same idempotency key.
     pub request_digest: [u8; 16],
     pub repeatable: bool,
-    /// The run is to be taken up again after its link was lost; it must not be started.
+    /// The stream of an existing run is to be resumed after its link was lost; no run may be started.
     pub resume: bool,
-    /// Where in the body to begin then.
+    /// Offset in the body at which to resume.
     pub from_offset: u64,
     pub trace: trace::Context,
-    /// Bytes the side may send before more credit comes.
+    /// Bytes the side may send before it gets more credit (flow control).
     pub credit_bytes: u32,
     pub call: Call,
 }
@@ -136,12 +136,12 @@
 pub enum ToSide {
     Submit(Box<Submit>),
     Cancel(StreamId),
-    /// The stream's key has been withdrawn: end it, and say whether it ran.
+    /// The stream's key has been withdrawn: the side ends the stream and reports whether it ran.
     Revoke(StreamId),
     Credit(Credit),
 }
 
-/// More bytes may be sent on a stream.
+/// Grants the side more bytes to send on a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
     pub stream: StreamId,
@@ -163,21 +163,21 @@
     pub stream: StreamId,
     pub status: u16,
     pub headers: Vec<Header>,
-    /// An answer kept from an earlier run of the same request.
+    /// The answer was stored by an earlier run of the same request.
     pub replayed: bool,
 }
 
-/// A piece of the answer's body.
+/// A chunk of the answer's body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Data {
     pub stream: StreamId,
-    /// Where the piece begins in the body.
+    /// Offset of the chunk in the body.
     pub offset: u64,
     #[serde(with = "serde_bytes_vec")]
     pub bytes: Vec<u8>,
 }
 
-/// The answer is whole.
+/// The answer is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
     pub stream: StreamId,
@@ -187,14 +187,14 @@
     pub queue_ms: u32,
 }
 
-/// The request gets no whole answer.
+/// The request gets no complete answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
     pub stream: StreamId,
     pub refusal: error::Refusal,
 }
 
-/// What one peer asks another for.
+/// Request to a peer for everything newer than the given versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
     pub fleet_id: Option<u64>,
@@ -204,26 +204,26 @@
     pub members: Vec<membership::Summary>,
 }
 
-/// What the asked peer has beyond that.
+/// Answer to a pull: the state that is newer than the puller's versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     pub fleet_id: Option<u64>,
     pub config: Option<ConfigText>,
     pub keys: Vec<keys::Versioned>,
-    /// More keys follow; pull again.
+    /// More keys are available with another pull.
     pub more_keys: bool,
     pub roster: Option<platform::Roster>,
     pub members: Vec<membership::Member>,
 }
 
-/// The operators' text with the store's version of it.
+/// The operators' configuration text with its version in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigText {
     pub version: u64,
     pub text: String,
 }
 
-/// Byte strings in `postcard` without a step a byte.
+/// Encodes byte strings as a whole; the derived form of `Vec<u8>` handles each byte separately.
 mod serde_bytes_vec {
     use serde::{Deserializer, Serializer, de};
 
