--- a/src/hub.rs
+++ b/src/hub.rs
@@ -1,4 +1,4 @@
-//! What the control thread and the traffic threads of a daemon share.
+//! State shared by the control thread and the traffic threads of a daemon.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, AtomicU64};
@@ -8,23 +8,23 @@
 
 use crate::{clock, duties, gossip, usage};
 
-/// What the control thread and the traffic threads of a daemon share.
+/// State shared by the control thread and the traffic threads of a daemon.
 #[derive(Debug)]
 pub struct Hub {
     pub snapshot: ArcSwap<gossip::Snapshot>,
-    /// Counts snapshots, so that a traffic thread sees cheaply that there is a new one.
+    /// Number of published snapshots; lets a traffic thread detect a new one cheaply.
     pub generation: AtomicU64,
     pub ready: AtomicBool,
     pub draining: AtomicBool,
-    /// The store answered last time.
+    /// Whether the last store call got an answer.
     pub store_up: AtomicBool,
     pub sheet: Mutex<usage::Sheet>,
-    /// The shared state as the operators' listener shows it.
+    /// Copy of the shared state for the operators' listener.
     pub shared: Mutex<gossip::SharedState>,
     pub duties: Mutex<Vec<duties::Status>>,
     pub bytes_out: AtomicU64,
     pub store_calls: AtomicU64,
-    /// On the boot clock.
+    /// Start time on the boot clock, which includes time in suspension.
     started_ms: u64,
 }
 
@@ -47,14 +47,14 @@
 }
 
 impl Hub {
-    /// Time since this daemon's start, on the boot clock. A clock that stood still while the instance
-    /// was suspended would let a holder act on a lease that has run out meanwhile.
+    /// Time since this daemon's start, on the boot clock. With a clock that stops while the instance is
+    /// suspended, a holder would act on a lease that has expired in the meantime.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         clock::boot_ms() - self.started_ms
     }
 
-    /// Counts usage into the billing window of this moment.
+    /// Adds usage to the current billing window.
     pub fn count_usage(&self, line: &usage::Line, figures: usage::Figures) {
         let snapshot = self.snapshot.load();
         let window_s = snapshot.config.as_ref().map_or(3600, |c| c.model.billing.window_s);
@@ -65,7 +65,7 @@
     }
 }
 
-/// Milliseconds since 1970.
+/// Current time in milliseconds since 1970.
 #[must_use]
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |age| age.as_millis() as u64)
