--- a/src/link.rs
+++ b/src/link.rs
@@ -1,4 +1,4 @@
-//! A sealed TCP link between two of the system's processes: greeting, outgoing buffer, reading.
+//! A sealed TCP link between two daemons: handshake, buffered writes and reads.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,9 +15,9 @@
 
 use crate::{seal, wire};
 
-/// Longest time to connect and greet.
+/// Timeout for connecting and the exchange of greetings.
 pub const OPEN_MS: u64 = 1_000;
-/// Longest time in which a peer takes none of the bytes written to it.
+/// Timeout for writing one batch of messages to a peer.
 const WRITE_MS: u64 = 5_000;
 const READ_BYTES: usize = 64 << 10;
 
@@ -38,10 +38,10 @@
 }
 
 impl Inbox {
-    /// The next message; `None` when the other end has closed.
+    /// Reads the next message; `None` when the peer has closed the link.
     ///
     /// # Errors
-    /// When the connection broke or the bytes are no frame of this link.
+    /// When the connection failed or the bytes are not a valid frame of this link.
     pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<Option<T>> {
         loop {
             if let Some(message) = self.opener.read().map_err(broken)? {
@@ -63,8 +63,8 @@
     closed: bool,
 }
 
-/// The writing half of a link: messages are sealed into one buffer, and all that has gathered is
-/// written at once.
+/// The writing half of a link. Messages are sealed into one buffer, and its whole content is written
+/// as one batch.
 #[derive(Clone, Debug)]
 pub struct Outbox {
     state: Rc<RefCell<OutboxState>>,
@@ -77,7 +77,7 @@
         Self { state: Rc::new(RefCell::new(state)), wake: Rc::new(Notify::new()) }
     }
 
-    /// Appends a message; says whether the link is still open.
+    /// Appends a message; returns false if the link is closed or the message can't be sealed.
     pub fn send<T: Serialize>(&self, message: &T) -> bool {
         let mut state = self.state.borrow_mut();
         if state.closed {
@@ -89,13 +89,13 @@
         sealed
     }
 
-    /// Closes the link; what was not yet written is dropped.
+    /// Closes the link after the messages already in the buffer have been written.
     pub fn close(&self) {
         self.state.borrow_mut().closed = true;
         self.wake.notify_one();
     }
 
-    /// Whether both are the same link.
+    /// Whether both handles belong to the same link.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         Rc::ptr_eq(&self.state, &other.state)
@@ -106,7 +106,7 @@
         self.state.borrow().closed
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes in the buffer that are not yet being written.
     #[must_use]
     pub fn backlog_bytes(&self) -> usize {
         self.state.borrow().buffer.len()
@@ -123,8 +123,8 @@
                 self.wake.notified().await;
                 continue;
             }
-            // A peer that is frozen takes no bytes and closes nothing. Without a bound the link
-            // would look open for as long as the kernel retransmits, and its streams would hang.
+            // A frozen peer neither reads nor closes the connection. Without a timeout the link would
+            // look open for as long as the kernel retransmits, and its streams would hang.
             let limit = Duration::from_millis(WRITE_MS);
             tokio::time::timeout(limit, stream.write_all(&batch))
                 .await
@@ -139,21 +139,21 @@
 pub struct Link {
     pub inbox: Inbox,
     pub outbox: Outbox,
-    /// Name that the other end gave.
+    /// Daemon id from the peer's greeting.
     pub peer: CompactString,
 }
 
-/// Which end of a connection this is.
+/// End of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Client,
     Server,
 }
 
-/// Connects to a peer and greets it.
+/// Connects to a peer and exchanges greetings with it.
 ///
 /// # Errors
-/// When it does not answer in time or is not of this fleet.
+/// When the peer does not answer in time or does not have this fleet's secret.
 pub async fn connect(
     addr: std::net::SocketAddr,
     secret: &seal::Secret,
@@ -166,10 +166,10 @@
     tokio::time::timeout(Duration::from_millis(OPEN_MS), open).await.map_err(|_| timed_out())?
 }
 
-/// Greets a peer that has connected.
+/// Exchanges greetings with a peer that has connected.
 ///
 /// # Errors
-/// When it does not greet in time or is not of this fleet.
+/// When the peer does not greet in time or does not have this fleet's secret.
 pub async fn accept(
     stream: TcpStream,
     secret: &seal::Secret,
@@ -208,7 +208,7 @@
     let outbox = Outbox::new(seal::Sealer::new(outgoing));
     let writer = outbox.clone();
     tokio::task::spawn_local(async move {
-        // Whatever ends the writing ends the link; the reader notices by the closed socket.
+        // Any end of the writer ends the link; the reader sees the closed socket.
         let _ = writer.write_all(write).await;
         writer.close();
     });
