--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemons' programs have in common: settings, log, runtime, exit code.
+//! Common start-up of the daemons' programs: settings, log, runtime and exit code.
 
 use std::process::ExitCode;
 
@@ -7,14 +7,14 @@
 
 use crate::{cli, gateway, logging, settings};
 
-/// Exit code for settings that hold a mistake.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 3;
 
-/// A daemon's settings name it.
+/// Settings of a daemon, with its id and the destination of its log.
 pub trait DaemonSettings: settings::Validate {
     fn id(&self) -> &CompactString;
 
-    /// Where the daemon's log goes.
+    /// Destination of the daemon's log.
     fn log_output(&self) -> logging::Output {
         logging::Output::Stderr
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Runs a daemon's program: reads the command line and the settings, then `run` to its end.
+/// Runs a daemon's program: parses the command line, loads the settings and runs `run` to its end.
 pub fn main<T: DaemonSettings + 'static>(
     run: impl AsyncFnOnce(T, slog::Logger) -> anyhow::Result<()> + 'static,
 ) -> ExitCode {
@@ -50,7 +50,7 @@
     start(&line, run)
 }
 
-/// Runs a daemon's program on a command line that has been read.
+/// Runs a daemon's program with a parsed command line.
 pub fn start<T: DaemonSettings + 'static>(
     line: &cli::Daemon,
     run: impl AsyncFnOnce(T, slog::Logger) -> anyhow::Result<()> + 'static,
@@ -69,7 +69,7 @@
     let (log, guard) = logging::open(settings.id(), settings.log_output());
     let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
     let outcome = runner.block_on(async move { run(settings, log).await });
-    // The last lines say how the process ended.
+    // Flushes the log: its last lines tell how the process ended.
     drop(guard);
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
