--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of each daemon: JSON with comments, checked at the start.
+//! Settings of each daemon: JSON with comments, validated at startup.
 //!
-//! A process learns its addresses and its availability zone from here and nowhere else.
+//! The settings are the only source of a process's addresses and availability zone.
 
 use std::net::SocketAddr;
 use std::path;
@@ -12,7 +12,7 @@
 
 use crate::jsonc;
 
-/// What every daemon is told.
+/// Settings common to all daemons.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Daemon {
@@ -20,32 +20,32 @@
     pub id: CompactString,
     pub region: CompactString,
     pub zone: CompactString,
-    /// Where this daemon exchanges state with its peers, over UDP and TCP.
+    /// Address on which this daemon exchanges state with its peers, over UDP and TCP.
     pub peer_addr: SocketAddr,
-    /// The operators' listener: readiness, metrics, status, explain.
+    /// Address of the operators' listener: readiness, metrics, status, explain.
     pub admin_addr: SocketAddr,
-    /// The platform's interfaces, as `http://IP:PORT`.
+    /// Base URL of the platform's interfaces, as `http://IP:PORT`.
     pub platform_url: String,
     /// Secret that all daemons of one fleet share; at least 16 characters.
     pub fleet_secret: String,
-    /// Peers to ask first, before the fleet is known.
+    /// Peers to contact at startup, before the fleet is known.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Longest time a graceful stop takes; what still runs then is ended and told so.
+    /// Maximum duration of a graceful stop; requests that still run after it are ended with an error.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Where spans go.
+    /// Destination of trace spans.
     #[serde(default)]
     pub traces: Traces,
 }
 
-/// Where spans go.
+/// Destination of trace spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Traces {
     #[default]
     Off,
-    /// One JSON line a span, beside the log.
+    /// One JSON line per span on standard output, next to the log.
     Lines,
 }
 
@@ -54,20 +54,20 @@
 #[serde(deny_unknown_fields)]
 pub struct Entry {
     pub daemon: Daemon,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen_addr: SocketAddr,
-    /// Threads that carry traffic.
+    /// Number of traffic threads.
     #[serde(default = "default_workers")]
     pub workers: usize,
     #[serde(default = "default_max_body_bytes")]
     pub max_body_bytes: usize,
-    /// Longest time for a request's head and body to arrive.
+    /// Timeout for the arrival of a request's head and body.
     #[serde(default = "default_request_arrival_ms")]
     pub request_arrival_ms: u64,
-    /// How long an ask waits for answers.
+    /// Time to wait for answers to an ask.
     #[serde(default = "default_ask_ms")]
     pub ask_ms: u64,
-    /// How many endpoints are asked for one request.
+    /// Number of endpoints asked for one request.
     #[serde(default = "default_ask_width")]
     pub ask_width: usize,
 }
@@ -77,25 +77,25 @@
 #[serde(deny_unknown_fields)]
 pub struct Side {
     pub daemon: Daemon,
-    /// Where entries submit work, over TCP, and ask, over UDP.
+    /// Address on which entries submit work, over TCP, and ask for offers, over UDP.
     pub work_addr: SocketAddr,
     pub endpoints: Vec<SideEndpoint>,
-    /// How long an answer outlives the link that carried it.
+    /// Time for which an answer is kept after its link was lost.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
-    /// Memory for answers kept so that a caller can come back for them.
+    /// Memory for answers kept so that a caller can fetch them later.
     #[serde(default = "default_kept_bytes")]
     pub kept_bytes: usize,
 }
 
-/// An endpoint in front of which a side stands.
+/// An endpoint that a side serves.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SideEndpoint {
-    /// The platform's name for it.
+    /// The platform's id of the endpoint.
     pub id: CompactString,
     pub service: CompactString,
-    /// As `http://IP:PORT`.
+    /// Base URL of the endpoint, as `http://IP:PORT`.
     pub url: String,
 }
 
@@ -124,35 +124,39 @@
     16 << 20
 }
 
-/// Least length of the fleet secret.
+/// Minimum length of the fleet secret.
 const MIN_SECRET_CHARS: usize = 16;
 
-/// Settings that know their own rules.
+/// Settings that can be validated.
 pub trait Validate: DeserializeOwned {
-    /// The first rule broken, as a path into the text and a sentence.
+    /// Checks the rules that the types don't express.
     ///
     /// # Errors
-    /// When a rule is broken.
+    /// The first violated rule, as a path into the text and a message.
     fn validate(&self) -> Result<(), (jsonc::Path, String)>;
 }
 
 impl Validate for Entry {
     fn validate(&self) -> Result<(), (jsonc::Path, String)> {
         self.daemon.validate()?;
-        require(self.workers > 0, crate::path!["workers"], "at least one worker is needed")?;
-        require(self.ask_width > 0, crate::path!["ask_width"], "at least one endpoint is asked")
+        require(self.workers > 0, crate::path!["workers"], "workers must be at least 1")?;
+        require(self.ask_width > 0, crate::path!["ask_width"], "ask_width must be at least 1")
     }
 }
 
 impl Validate for Side {
     fn validate(&self) -> Result<(), (jsonc::Path, String)> {
         self.daemon.validate()?;
-        require(!self.endpoints.is_empty(), crate::path!["endpoints"], "no endpoint is named")?;
+        require(
+            !self.endpoints.is_empty(),
+            crate::path!["endpoints"],
+            "at least one endpoint is required",
+        )?;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             require(
                 parse_http_addr(&endpoint.url).is_some(),
                 crate::path!["endpoints", index, "url"],
-                "the address has the form http://IP:PORT",
+                "the address must have the form http://IP:PORT",
             )?;
         }
         Ok(())
@@ -170,44 +174,40 @@
         require(
             parse_http_addr(&self.platform_url).is_some(),
             crate::path!["daemon", "platform_url"],
-            "the address has the form http://IP:PORT",
+            "the address must have the form http://IP:PORT",
         )
     }
 }
 
-/// A rule of the settings: holds, or is told with its place.
+/// Checks one rule of the settings.
 ///
 /// # Errors
-/// The place and the sentence, when it does not hold.
-pub fn require(
-    holds: bool,
-    path: jsonc::Path,
-    sentence: &str,
-) -> Result<(), (jsonc::Path, String)> {
-    if holds { Ok(()) } else { Err((path, sentence.to_owned())) }
+/// The path and the message, when the rule does not hold.
+pub fn require(holds: bool, path: jsonc::Path, message: &str) -> Result<(), (jsonc::Path, String)> {
+    if holds { Ok(()) } else { Err((path, message.to_owned())) }
 }
 
-/// The socket address in `http://IP:PORT`.
+/// Parses the socket address in `http://IP:PORT`.
 #[must_use]
 pub fn parse_http_addr(url: &str) -> Option<SocketAddr> {
     url.strip_prefix("http://")?.trim_end_matches('/').parse().ok()
 }
 
-/// Reads settings from a text.
+/// Parses and validates settings.
 ///
 /// # Errors
 /// The first mistake, with line and column.
 pub fn parse<T: Validate>(text: &str) -> Result<T, jsonc::Mistake> {
     let document = jsonc::Document::parse(text)?;
     let settings: T = document.read()?;
-    settings.validate().map_err(|(path, sentence)| document.mistake(&path, sentence))?;
+    settings.validate().map_err(|(path, message)| document.mistake(&path, message))?;
     Ok(settings)
 }
 
 /// Reads settings from a file.
 ///
 /// # Errors
-/// When the file cannot be read, or holds a mistake.
+/// When the file cannot be read or the settings are invalid.
 pub fn load<T: Validate>(file: &path::Path) -> anyhow::Result<T> {
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("cannot read settings {}", file.display()))?;
