--- a/src/store.rs
+++ b/src/store.rs
@@ -1,18 +1,19 @@
-//! The port to the platform's object API: versioned objects, conditional writes, watches.
+//! Interface to the platform's object API: versioned objects, conditional writes, watches.
 //!
-//! What every caller has to handle: a write whose answer was lost may have taken effect. It is
-//! settled by reading, so each value written conditionally carries a nonce of its writer.
+//! Every caller must handle that a write whose answer was lost may have taken effect. The caller reads
+//! the object to find out, so each conditionally written value carries a nonce of its writer.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Prefix of what all daemons share, watched by the readers.
+/// Prefix of the objects that all daemons share; the readers watch it.
 pub const SHARED_PREFIX: &str = "shared/";
-/// The operators' text.
+/// Key of the operators' configuration text.
 pub const CONFIG_KEY: &str = "shared/config";
-/// A number that tells the fleet of this store from others, written once by whoever reads it first.
+/// Key of the fleet id: a random number that distinguishes this store's fleet from others. The first
+/// daemon that finds none writes it, once.
 pub const FLEET_KEY: &str = "shared/fleet";
-/// Records of keys, one object each.
+/// Prefix of the API key records, one object each.
 pub const KEYS_PREFIX: &str = "shared/keys/";
 
 /// Why a call to the store failed.
@@ -21,27 +22,27 @@
     /// The condition did not hold; nothing was written.
     #[display("another write came first")]
     Conflict,
-    /// No answer came; a write may have taken effect.
+    /// No usable answer arrived; a write may have taken effect.
     #[display("the store gave no answer")]
     NoAnswer,
-    /// The store said that it cannot; nothing was written.
+    /// The store is unreachable or reported that it is unavailable; nothing was written.
     #[display("the store is down")]
     Down,
 }
 
 impl std::error::Error for Failure {}
 
-/// On what a write depends.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// No such object yet.
+    /// The object does not exist.
     Absent,
-    /// The object stands at this version.
+    /// The object has this version.
     Version(u64),
 }
 
 impl Condition {
-    /// That the object stands at this version; zero: that there is none yet.
+    /// The condition that the object has this version; zero means that it does not exist.
     #[must_use]
     pub fn at(version: u64) -> Self {
         if version == 0 { Self::Absent } else { Self::Version(version) }
@@ -52,26 +53,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Object {
     pub key: CompactString,
-    /// Grows over the whole store with each write.
+    /// Revision of the whole store at which the object was written; each write increases it.
     pub version: u64,
     pub value: String,
 }
 
-/// Objects under a prefix, as of a revision.
+/// Objects under a prefix at a revision of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     pub revision: u64,
     pub objects: Vec<Object>,
 }
 
-/// The object API as the system uses it.
+/// The part of the object API that the daemons use.
 #[expect(async_fn_in_trait, reason = "all users run on one thread and need no Send")]
 pub trait ObjectStore {
     /// Reads an object.
     async fn get(&self, key: &str) -> Result<Option<Object>, Failure>;
-    /// Writes an object under a condition; gives its new version.
+    /// Writes an object if the condition holds; returns its new version.
     async fn put(&self, key: &str, value: String, condition: Condition) -> Result<u64, Failure>;
-    /// Removes an object that stands at a version.
+    /// Removes an object if it has the given version.
     async fn delete(&self, key: &str, version: u64) -> Result<(), Failure>;
     /// Reads all objects under a prefix.
     async fn list(&self, prefix: &str) -> Result<Listing, Failure>;
