--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,5 +1,5 @@
-//! Adapter to the platform's interfaces by HTTP. `docs/PLATFORM.md` has the forms assumed; another
-//! form is another adapter.
+//! HTTP adapter to the platform's interfaces. `docs/PLATFORM.md` describes the assumed formats; a
+//! platform with other formats needs another adapter.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::store::{self, Condition, Failure, ObjectStore};
 use crate::{orders, usage};
 
-/// Longest wait for an answer of the platform.
+/// Timeout for an answer of the platform.
 const CALL_MS: u32 = 2_000;
-/// Longest wait of a watch at the platform.
+/// Maximum time for which the platform holds a watch (long poll).
 pub const WATCH_MS: u32 = 10_000;
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Whether an instance or endpoint is live.
+/// State of an instance or endpoint in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
@@ -28,22 +28,22 @@
     Leaving,
 }
 
-/// One line of the platform's lagging list.
+/// One item of the platform's lagging list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name of a daemon or of an endpoint.
+    /// Id of a daemon or of an endpoint.
     pub id: CompactString,
     pub standing: Standing,
 }
 
-/// The platform's lagging list.
+/// The platform's list of instances and endpoints, which lags behind their real state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
     pub revision: u64,
     pub instances: Vec<Instance>,
 }
 
-/// An endpoint as the endpoint interface shows it.
+/// An endpoint as the endpoint interface reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLine {
     pub id: CompactString,
@@ -70,10 +70,10 @@
 }
 
 impl Platform {
-    /// Opens a client; no connection is made yet.
+    /// Creates a client; connections are made on demand.
     ///
     /// # Errors
-    /// When the HTTP client cannot be made.
+    /// When the HTTP client cannot be created.
     pub async fn open(url: &str) -> anyhow::Result<Self> {
         let http = client::ClientBuilder::new()
             .response_timeout(Millis(CALL_MS))
@@ -83,7 +83,7 @@
             .disable_redirects()
             .build(ntex::SharedCfg::default())
             .await
-            .map_err(|error| anyhow::anyhow!("cannot make an HTTP client: {error:?}"))?;
+            .map_err(|error| anyhow::anyhow!("cannot create the HTTP client: {error:?}"))?;
         Ok(Self { http, url: url.trim_end_matches('/').to_owned() })
     }
 
@@ -100,8 +100,8 @@
             .timeout(Millis(wait_ms))
             .content_type("application/json")
             .send_body(body);
-        // The client's own timeout covers the head; the outer one covers connecting as well, so
-        // that a platform that accepts and then hangs cannot hold a caller.
+        // The client's own timeout covers only the response head; the outer one includes connecting, so
+        // that a platform that accepts and then hangs can't block a caller.
         let outer = Duration::from_millis(u64::from(wait_ms) + 500);
         let response = tokio::time::timeout(outer, request)
             .await
@@ -125,7 +125,8 @@
         }
     }
 
-    async fn must<T: DeserializeOwned>(
+    /// As `call`, but a missing object counts as no answer.
+    async fn call_required<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
@@ -135,13 +136,13 @@
         self.call(method, path, body, wait_ms).await?.ok_or(Failure::NoAnswer)
     }
 
-    /// Waits for changes under a prefix after a revision; an empty listing when none came in time.
+    /// Waits for changes under a prefix after a revision; returns an empty listing on timeout.
     ///
     /// # Errors
     /// When the store is down or gives no answer.
     pub async fn watch(&self, prefix: &str, after: u64) -> Result<store::Listing, Failure> {
         let path = format!("/watch?prefix={prefix}&after={after}&wait_ms={WATCH_MS}");
-        self.must(Method::GET, &path, String::new(), WATCH_MS + CALL_MS).await
+        self.call_required(Method::GET, &path, String::new(), WATCH_MS + CALL_MS).await
     }
 
     /// Reads the lagging list of instances and endpoints.
@@ -149,7 +150,7 @@
     /// # Errors
     /// When the platform is down or gives no answer.
     pub async fn roster(&self) -> Result<Roster, Failure> {
-        self.must(Method::GET, "/instances", String::new(), CALL_MS).await
+        self.call_required(Method::GET, "/instances", String::new(), CALL_MS).await
     }
 
     /// Reads the endpoints of an availability zone.
@@ -157,28 +158,29 @@
     /// # Errors
     /// When the platform is down or gives no answer.
     pub async fn endpoints(&self, zone: &str) -> Result<EndpointList, Failure> {
-        self.must(Method::GET, &format!("/endpoints/{zone}"), String::new(), CALL_MS).await
+        self.call_required(Method::GET, &format!("/endpoints/{zone}"), String::new(), CALL_MS).await
     }
 
-    /// Sends an order for endpoints of a zone; no longer than the order may take.
+    /// Sends an order for endpoints of a zone; its timeout is the time limit of orders.
     ///
     /// # Errors
-    /// `Conflict` when the platform has seen a greater fencing number.
+    /// `Conflict` when the platform has seen a higher fencing token.
     pub async fn order(&self, zone: &str, order: &orders::Order) -> Result<(), Failure> {
         let body = serde_json::to_string(order).map_err(|_| Failure::Down)?;
         let path = format!("/endpoints/{zone}/orders");
         let _: serde_json::Value =
-            self.must(Method::POST, &path, body, orders::SEND_MS as u32).await?;
+            self.call_required(Method::POST, &path, body, orders::SEND_MS as u32).await?;
         Ok(())
     }
 
-    /// Reports a sealed window.
+    /// Reports a sealed billing window.
     ///
     /// # Errors
-    /// `Conflict` when the window was reported with other figures.
+    /// `Conflict` when the window was already reported with other figures.
     pub async fn report(&self, report: &usage::Report) -> Result<(), Failure> {
         let body = serde_json::to_string(report).map_err(|_| Failure::Down)?;
-        let _: serde_json::Value = self.must(Method::POST, "/usage", body, CALL_MS).await?;
+        let _: serde_json::Value =
+            self.call_required(Method::POST, "/usage", body, CALL_MS).await?;
         Ok(())
     }
 }
@@ -194,17 +196,19 @@
             Condition::Version(version) => version,
         };
         let path = format!("/objects/{key}?if_version={version}");
-        let written: Written = self.must(Method::PUT, &path, value, CALL_MS).await?;
+        let written: Written = self.call_required(Method::PUT, &path, value, CALL_MS).await?;
         Ok(written.version)
     }
 
     async fn delete(&self, key: &str, version: u64) -> Result<(), Failure> {
         let path = format!("/objects/{key}?if_version={version}");
-        let _: serde_json::Value = self.must(Method::DELETE, &path, String::new(), CALL_MS).await?;
+        let _: serde_json::Value =
+            self.call_required(Method::DELETE, &path, String::new(), CALL_MS).await?;
         Ok(())
     }
 
     async fn list(&self, prefix: &str) -> Result<store::Listing, Failure> {
-        self.must(Method::GET, &format!("/list?prefix={prefix}"), String::new(), CALL_MS).await
+        self.call_required(Method::GET, &format!("/list?prefix={prefix}"), String::new(), CALL_MS)
+            .await
     }
 }
