--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines, the span sink, and the signal to stop.
+//! The log as rate-limited JSON lines, the destination of trace spans, and the stop signal.
 
 use std::io;
 use std::sync::{Mutex, PoisonError};
@@ -7,48 +7,48 @@
 
 use crate::{clock, settings, trace};
 
-/// Lines that wait to be written. What does not fit is counted and said; writing never holds up a
-/// request.
-const WAITING_LINES: usize = 4096;
+/// Capacity of the queue of lines to be written. Lines beyond it are dropped, counted and reported, so
+/// that writing never delays a request.
+const QUEUED_LINES: usize = 4096;
 
-/// Where a program's log goes.
+/// Destination of a program's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
     Stderr,
     Stdout,
 }
 
-/// Opens a log of JSON lines. The guard, when dropped, writes what still waits.
+/// Opens a log of JSON lines. Dropping the guard flushes the queued lines.
 pub fn open(daemon: &str, output: Output) -> (slog::Logger, slog_async::AsyncGuard) {
     let writer: Box<dyn io::Write + Send> = match output {
         Output::Stderr => Box::new(io::stderr()),
         Output::Stdout => Box::new(io::stdout()),
     };
     let lines = slog_json::Json::new(writer)
-        .add_key_value(keys())
+        .add_key_value(common_fields())
         .set_newlines(true)
         .set_flush(true)
         .build();
-    // When whoever reads the log is gone, lines are lost and there is nobody to tell; requests go on.
+    // If the log's reader is gone, lines are lost and can't be reported; requests continue.
     let (drain, guard) = slog_async::Async::new(Mutex::new(lines).ignore_res())
-        .chan_size(WAITING_LINES)
+        .chan_size(QUEUED_LINES)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
-    let bounded = Bounded { inner: drain.fuse(), allowance: Mutex::new(Allowance::new()) };
-    (slog::Logger::root(bounded.fuse(), slog::o!("daemon" => daemon.to_owned())), guard)
+    let limited = RateLimited { inner: drain.fuse(), limiter: Mutex::new(RateLimiter::new()) };
+    (slog::Logger::root(limited.fuse(), slog::o!("daemon" => daemon.to_owned())), guard)
 }
 
-/// What each line has beside its own fields and its time.
-fn keys() -> slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + 'static> {
+/// Fields of each line besides its own fields and its time.
+fn common_fields() -> slog::OwnedKV<impl slog::SendSyncRefUnwindSafeKV + 'static> {
     slog::o!(
         "level" => slog::FnValue(|record: &slog::Record<'_>| record.level().as_short_str()),
         "msg" => slog::PushFnValue(|record: &slog::Record<'_>, out| out.emit(record.msg())),
     )
 }
 
-/// The process's time of day as a line shows it: RFC 3339 with microseconds, so that lines sort as
+/// Formats the process's time of day for a line: RFC 3339 with microseconds, so that lines sort as
 /// text.
-fn stamp() -> String {
+fn timestamp() -> String {
     const LAYOUT: &[time::format_description::BorrowedFormatItem<'_>] = time::macros::format_description!(
         "[year]-[month]-[day]T[hour]:[minute]:[second].[subsecond digits:6]Z"
     );
@@ -57,26 +57,27 @@
     at.ok().and_then(|at| at.format(LAYOUT).ok()).unwrap_or_default()
 }
 
-/// Lines a second of requests that end well. An entry at its processor's limit serves about 150
-/// requests a second with two such lines each.
-const WELL_PER_S: u64 = 400;
-/// Lines a second of all else: what fails, and what changes. They have an allowance of their own, so
+/// Limit on lines below level info, which requests that end well write. An entry at its processor's
+/// limit serves about 150 requests per second with two such lines each.
+const ROUTINE_LINES_PER_S: u64 = 400;
+/// Limit on all other lines: failures and changes of state. They have a token bucket of their own, so
 /// that requests that end well never displace them.
-const OTHER_PER_S: u64 = 400;
-/// Seconds of lines that may come at once.
+const OTHER_LINES_PER_S: u64 = 400;
+/// Capacity of each token bucket, in seconds of its rate.
 const BURST_S: u64 = 3;
-/// How often what was left out is said.
-const SAY_MS: u64 = 1_000;
+/// Interval at which the number of dropped lines is reported.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// How many lines may still be written.
+/// Rate limiter for lines: one token bucket for routine lines and one for all others.
 #[derive(Debug)]
-struct Allowance {
-    well: Bucket,
+struct RateLimiter {
+    routine: Bucket,
     other: Bucket,
-    left_out: u64,
-    said_ms: u64,
+    dropped: u64,
+    reported_ms: u64,
 }
 
+/// Token bucket; a token is one line.
 #[derive(Debug)]
 struct Bucket {
     lines: u64,
@@ -95,48 +96,48 @@
             self.lines = (self.lines + new).min(self.per_s * BURST_S);
             self.filled_ms = now_ms;
         }
-        let has_one = self.lines > 0;
-        self.lines -= u64::from(has_one);
-        has_one
+        let has_token = self.lines > 0;
+        self.lines -= u64::from(has_token);
+        has_token
     }
 }
 
-impl Allowance {
+impl RateLimiter {
     fn new() -> Self {
         Self {
-            well: Bucket::new(WELL_PER_S),
-            other: Bucket::new(OTHER_PER_S),
-            left_out: 0,
-            said_ms: 0,
+            routine: Bucket::new(ROUTINE_LINES_PER_S),
+            other: Bucket::new(OTHER_LINES_PER_S),
+            dropped: 0,
+            reported_ms: 0,
         }
     }
 
     /// Whether a line of this level may be written.
     fn admit(&mut self, level: slog::Level, now_ms: u64) -> bool {
         let bucket =
-            if level.is_at_least(slog::Level::Info) { &mut self.other } else { &mut self.well };
+            if level.is_at_least(slog::Level::Info) { &mut self.other } else { &mut self.routine };
         let admitted = bucket.take(now_ms);
-        self.left_out += u64::from(!admitted);
+        self.dropped += u64::from(!admitted);
         admitted
     }
 
-    /// How many lines were left out, when it is time to say so.
+    /// Number of lines dropped since the last report, if a report is due.
     fn due_report(&mut self, now_ms: u64) -> Option<u64> {
-        if self.left_out == 0 || now_ms < self.said_ms + SAY_MS {
+        if self.dropped == 0 || now_ms < self.reported_ms + REPORT_INTERVAL_MS {
             return None;
         }
-        self.said_ms = now_ms;
-        Some(std::mem::take(&mut self.left_out))
+        self.reported_ms = now_ms;
+        Some(std::mem::take(&mut self.dropped))
     }
 }
 
-/// Bounds the lines a second.
-struct Bounded<D> {
+/// Log drain that limits the number of lines per second.
+struct RateLimited<D> {
     inner: D,
-    allowance: Mutex<Allowance>,
+    limiter: Mutex<RateLimiter>,
 }
 
-impl<D: Drain<Ok = (), Err = slog::Never>> Drain for Bounded<D> {
+impl<D: Drain<Ok = (), Err = slog::Never>> Drain for RateLimited<D> {
     type Ok = ();
     type Err = slog::Never;
 
@@ -146,18 +147,18 @@
         values: &slog::OwnedKVList,
     ) -> Result<(), slog::Never> {
         let now_ms = clock::boot_ms();
-        let (admitted, left_out) = {
-            let mut allowance = self.allowance.lock().unwrap_or_else(PoisonError::into_inner);
-            (allowance.admit(record.level(), now_ms), allowance.due_report(now_ms))
+        let (admitted, dropped) = {
+            let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
+            (limiter.admit(record.level(), now_ms), limiter.due_report(now_ms))
         };
-        if let Some(left_out) = left_out {
-            metrics::counter!("briarwinch_log_lines_left_out_total").increment(left_out);
+        if let Some(dropped) = dropped {
+            metrics::counter!("briarwinch_log_lines_left_out_total").increment(dropped);
             self.inner.log(
                 &slog::record!(
                     slog::Level::Warning,
                     "",
                     &format_args!("lines left out"),
-                    slog::b!("count" => left_out)
+                    slog::b!("count" => dropped)
                 ),
                 values,
             )?;
@@ -165,31 +166,35 @@
         if !admitted {
             return Ok(());
         }
-        // Taken here, on the thread that logs: a writer that is behind would give its own time.
-        let stamped = (slog::SingleKV("ts", stamp()), record.kv());
+        // The time is taken on the logging thread: a writer that lags would put in a later one.
+        let with_time = (slog::SingleKV("ts", timestamp()), record.kv());
         let origin = slog::RecordStatic {
             location: record.location(),
             tag: record.tag(),
             level: record.level(),
         };
         self.inner
-            .log(&slog::Record::new(&origin, record.msg(), slog::BorrowedKV(&stamped)), values)
+            .log(&slog::Record::new(&origin, record.msg(), slog::BorrowedKV(&with_time)), values)
     }
 }
 
-/// Where a daemon's spans go.
+/// Returns the destination of a daemon's spans.
 #[must_use]
 pub fn span_sink(settings: &settings::Daemon) -> trace::Sink {
-    trace::Sink { on: settings.traces == settings::Traces::Lines, daemon: settings.id.to_string() }
+    trace::Sink {
+        enabled: settings.traces == settings::Traces::Lines,
+        daemon: settings.id.to_string(),
+    }
 }
 
-/// Waits until the process is asked to stop. Listens from the call on: until then a signal ends the process.
+/// Waits for the signal to stop. The handlers are installed at the call; before it, a signal ends the
+/// process immediately.
 pub fn stop_signal() -> impl Future<Output = ()> {
     use tokio::signal::unix::{SignalKind, signal};
     let listening = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
     async move {
         let (Ok(mut terminate), Ok(mut interrupt)) = listening else {
-            // Without handlers the process still ends by the signals themselves, only not gently.
+            // Without handlers the signals still end the process, but without a graceful stop.
             return std::future::pending().await;
         };
         tokio::select! {
