--- a/src/metric.rs
+++ b/src/metric.rs
@@ -4,13 +4,13 @@
 
 use crate::seal;
 
-/// Bounds of histograms of seconds.
+/// Bucket bounds of the histograms, in seconds.
 const SECONDS: [f64; 12] = [0.001, 0.003, 0.01, 0.03, 0.1, 0.2, 0.41, 0.8, 1.5, 3.0, 10.0, 60.0];
 
-/// Installs the recorder of this process.
+/// Installs the metrics recorder of this process.
 ///
 /// # Errors
-/// When one is installed already.
+/// When a recorder is already installed.
 pub fn install() -> anyhow::Result<PrometheusHandle> {
     PrometheusBuilder::new()
         .set_buckets(&SECONDS)
@@ -18,7 +18,7 @@
         .map_err(|error| anyhow::anyhow!("cannot install metrics: {error}"))
 }
 
-/// Counts bytes that were not taken as a message.
+/// Counts a received message that was rejected, by reason.
 pub fn count_reject(reject: seal::Reject) {
     let reason = match reject {
         seal::Reject::Size => "size",
