--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -1,5 +1,5 @@
-//! Store reads of the control thread. A daemon that starts without peers reads the store once; after
-//! that a few readers per zone read it on behalf of the others.
+//! Store reads of the control thread. A daemon that can't get its state from peers reads the store
+//! itself; otherwise a few readers per zone read it on behalf of the others.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,4 +1,4 @@
-//! Trace context (W3C `traceparent`) and spans, one a hop, written as JSON lines.
+//! Trace context (W3C `traceparent`) and spans, one per hop, written as JSON lines.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,7 +6,7 @@
 
 use crate::keys;
 
-/// The place of a hop in its trace.
+/// Trace id and span id of a hop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Context {
     pub trace: u128,
@@ -14,41 +14,41 @@
 }
 
 impl Context {
-    /// A new trace.
+    /// Starts a new trace.
     #[must_use]
     pub fn root() -> Self {
         Self { trace: rand::random::<u128>() | 1, span: rand::random::<u64>() | 1 }
     }
 
-    /// A span below this one.
+    /// Creates the context of a child span.
     #[must_use]
     pub fn child(self) -> Self {
         Self { trace: self.trace, span: rand::random::<u64>() | 1 }
     }
 
-    /// Reads a `traceparent` header.
+    /// Parses a `traceparent` header; `None` if it is malformed.
     #[must_use]
     pub fn parse(header: &str) -> Option<Self> {
         let mut parts = header.split('-');
         let version = parts.next()?;
-        let trace = u128::from_str_radix(sized(parts.next()?, 32)?, 16).ok()?;
-        let span = u64::from_str_radix(sized(parts.next()?, 16)?, 16).ok()?;
-        let known = version.len() == 2 && version != "ff" && trace != 0 && span != 0;
-        known.then_some(Self { trace, span })
+        let trace = u128::from_str_radix(hex_of_length(parts.next()?, 32)?, 16).ok()?;
+        let span = u64::from_str_radix(hex_of_length(parts.next()?, 16)?, 16).ok()?;
+        let is_valid = version.len() == 2 && version != "ff" && trace != 0 && span != 0;
+        is_valid.then_some(Self { trace, span })
     }
 
-    /// Writes a `traceparent` header.
+    /// Formats a `traceparent` header.
     #[must_use]
     pub fn header(self) -> String {
         format!("00-{:032x}-{:016x}-01", self.trace, self.span)
     }
 }
 
-fn sized(text: &str, chars: usize) -> Option<&str> {
+fn hex_of_length(text: &str, chars: usize) -> Option<&str> {
     (text.len() == chars && text.bytes().all(|byte| byte.is_ascii_hexdigit())).then_some(text)
 }
 
-/// What a span line says.
+/// JSON line of a span.
 #[derive(Debug, Serialize)]
 struct Line<'a> {
     span: &'a str,
@@ -61,27 +61,28 @@
     duration_us: u128,
 }
 
-/// A hop being timed; written when it ends.
+/// A running span; written when it ends.
 #[derive(Debug)]
 pub struct Span {
     pub context: Context,
     parent: u64,
     name: &'static str,
-    wall_us: u128,
+    start_us: u128,
     start: Instant,
 }
 
 impl Span {
-    /// Starts a span below `parent`.
+    /// Starts a child span of `parent`.
     #[must_use]
     pub fn start(name: &'static str, parent: Context) -> Self {
-        let wall_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |age| age.as_micros());
-        Self { context: parent.child(), parent: parent.span, name, wall_us, start: Instant::now() }
+        let start_us =
+            SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |age| age.as_micros());
+        Self { context: parent.child(), parent: parent.span, name, start_us, start: Instant::now() }
     }
 
-    /// Ends the span; writes it if spans are on.
+    /// Ends the span; writes it if spans are enabled.
     pub fn end(self, sink: &Sink, request: &str) {
-        if !sink.on {
+        if !sink.enabled {
             return;
         }
         let line = Line {
@@ -91,7 +92,7 @@
             parent_id: format!("{:016x}", self.parent),
             daemon: &sink.daemon,
             request,
-            start_us: self.wall_us,
+            start_us: self.start_us,
             duration_us: self.start.elapsed().as_micros(),
         };
         if let Ok(text) = serde_json::to_string(&line) {
@@ -100,14 +101,14 @@
     }
 }
 
-/// Where a daemon's spans go.
+/// Destination of a daemon's spans: standard output, if enabled.
 #[derive(Clone, Debug)]
 pub struct Sink {
-    pub on: bool,
+    pub enabled: bool,
     pub daemon: String,
 }
 
-/// A fresh request id.
+/// Generates a random request id.
 #[must_use]
 pub fn request_id() -> String {
     keys::hex(&rand::random::<[u8; 10]>())
