--- a/src/control.rs
+++ b/src/control.rs
@@ -220,7 +220,9 @@
 
     /// Discards the state learned from peers of another fleet.
     fn reset_to_fleet(&self, fleet_id: u64) {
-        slog::error!(self.log, "fleet id differs from the store's; discarded all state learned from peers"; "fleet" => fleet_id);
+        slog::error!(self.log,
+            "fleet id differs from the store's; discarded all state learned from peers";
+            "fleet" => fleet_id);
         *self.shared.borrow_mut() = gossip::SharedState::of_fleet(fleet_id);
         self.publish_own_record();
     }
@@ -231,7 +233,8 @@
         if !changed.any() {
             return;
         }
-        // A peer may know a record of this daemon from an earlier start; the current one replaces it.
+        // A peer may have another record under this daemon's id, for example from an earlier start; the
+        // current record replaces it.
         let is_superseded = {
             let (shared, me) = (self.shared.borrow(), self.me.borrow());
             shared.fleet.find(&me.id).is_some_and(|known| *known != *me)
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -68,7 +68,7 @@
             return wait_for_store().await;
         }
         after = listing.revision;
-        // Compared before this read is read_count: a replacement reader goes on while no other daemon reads.
+        // Compared before this read is counted: a replacement reader goes on while no other daemon reads.
         let others_read = control.with_shared(|shared| shared.reads) > read_count;
         read_count = merge_listing(control, listing);
         if others_read && !control.is_reader() {
@@ -87,11 +87,13 @@
     let fleet_id = match fleet_id_text.map(|text| text.parse::<u64>()) {
         Ok(Ok(fleet_id)) => fleet_id,
         Ok(Err(error)) => {
-            slog::error!(control.log, "fleet id in the store is not a number"; "error" => error.to_string());
+            slog::error!(control.log, "fleet id in the store is not a number";
+                "error" => error.to_string());
             return;
         }
         Err(failure) => {
-            slog::info!(control.log, "cannot write or read the fleet id in the store"; "failure" => failure.to_string());
+            slog::info!(control.log, "cannot write or read the fleet id in the store";
+                "failure" => failure.to_string());
             return;
         }
     };
@@ -103,10 +105,10 @@
 
 /// Writes a new fleet id, or reads the one that another daemon wrote first.
 async fn create_fleet_id(control: &Control) -> Result<String, store::Failure> {
-    let number = rand::random::<u64>().to_string();
+    let fleet_id = rand::random::<u64>().to_string();
     let condition = store::Condition::Absent;
-    match control.platform.put(store::FLEET_KEY, number.clone(), condition).await {
-        Ok(_) => Ok(number),
+    match control.platform.put(store::FLEET_KEY, fleet_id.clone(), condition).await {
+        Ok(_) => Ok(fleet_id),
         Err(store::Failure::Conflict) => {
             let object = control.platform.get(store::FLEET_KEY).await?;
             object.map(|object| object.value).ok_or(store::Failure::Conflict)
