--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -1,4 +1,4 @@
-//! What is shared only ever moves forward, and ends the same everywhere.
+//! Shared state: no merge lowers a version, and all replicas converge.
 
 use briarwinch::gossip::SharedState;
 use briarwinch::keys::{Record, Table, Versioned};
@@ -44,8 +44,8 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
-    /// A daemon reads a text from the store, perhaps an old one.
+enum Operation {
+    /// A daemon reads a configuration text from the store, possibly a stale one.
     Config {
         daemon: usize,
         version: u64,
@@ -64,53 +64,52 @@
         from: usize,
         to: usize,
     },
-    /// A daemon is restarted and knows nothing.
+    /// A daemon restarts with empty state.
     Restart {
         daemon: usize,
     },
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
     let daemon = 0..4_usize;
-    let act = prop_oneof![
-        (daemon.clone(), 1..30_u64).prop_map(|(daemon, version)| Act::Config { daemon, version }),
-        (daemon.clone(), 1..60_u64).prop_map(|(daemon, revision)| Act::Key { daemon, revision }),
-        (daemon.clone(), 0..5_u64, 1..20_u64).prop_map(|(daemon, number, version)| Act::Member {
-            daemon,
-            number,
-            version
-        }),
-        (daemon.clone(), daemon.clone()).prop_map(|(from, to)| Act::Pull { from, to }),
-        daemon.prop_map(|daemon| Act::Restart { daemon }),
+    let operation = prop_oneof![
+        (daemon.clone(), 1..30_u64)
+            .prop_map(|(daemon, version)| Operation::Config { daemon, version }),
+        (daemon.clone(), 1..60_u64)
+            .prop_map(|(daemon, revision)| Operation::Key { daemon, revision }),
+        (daemon.clone(), 0..5_u64, 1..20_u64)
+            .prop_map(|(daemon, number, version)| Operation::Member { daemon, number, version }),
+        (daemon.clone(), daemon.clone()).prop_map(|(from, to)| Operation::Pull { from, to }),
+        daemon.prop_map(|daemon| Operation::Restart { daemon }),
     ];
-    prop::collection::vec(act, 1..150)
+    prop::collection::vec(operation, 1..150)
 }
 
 fn pull(daemons: &mut [SharedState], from: usize, to: usize) {
-    let news = daemons[from].update_for(&daemons[to].pull());
-    daemons[to].merge_update(news);
+    let update = daemons[from].update_for(&daemons[to].pull());
+    daemons[to].merge_update(update);
 }
 
 proptest! {
     #![proptest_config(crate::cases(300))]
 
-    /// Old reads, slow peers and restarts in any order. If a version could go down, an accepted
-    /// configuration would revert, or a withdrawn key work again.
+    /// Guards against versions that go down through stale reads, slow peers and restarts in any order:
+    /// an accepted configuration would be reverted, or a withdrawn key would be valid again.
     #[test]
-    fn versions_never_go_down_and_all_end_alike(acts in acts()) {
+    fn merges_never_lower_a_version_and_replicas_converge(operations in operations()) {
         let mut daemons: Vec<SharedState> = vec![SharedState::default(); 4];
         let addr = ([127, 0, 0, 1], 1).into();
-        for act in acts {
+        for operation in operations {
             let before: Vec<_> = daemons.iter().map(|shared| {
                 (shared.digest(addr, false), shared.config.as_ref().map_or(0, |c| c.version))
             }).collect();
             let mut restarted = None;
-            match act {
-                Act::Config { daemon, version } => {
+            match operation {
+                Operation::Config { daemon, version } => {
                     daemons[daemon].merge_config(ConfigText { version, text: text(version) });
                 }
-                Act::Key { daemon, revision } => {
-                    // A reader has all up to a revision: it lists, then watches.
+                Operation::Key { daemon, revision } => {
+                    // A reader lists and then watches, so it has all keys up to a revision.
                     let objects = (1..=revision).map(|revision| Object {
                         key: format!("shared/keys/k{}", revision % 7).into(),
                         version: revision,
@@ -118,23 +117,24 @@
                     });
                     daemons[daemon].merge_objects(objects.collect());
                 }
-                Act::Member { daemon, number, version } => {
+                Operation::Member { daemon, number, version } => {
                     daemons[daemon].fleet.merge(member(number, version));
                 }
-                Act::Pull { from, to } => pull(&mut daemons, from, to),
-                Act::Restart { daemon } => {
+                Operation::Pull { from, to } => pull(&mut daemons, from, to),
+                Operation::Restart { daemon } => {
                     daemons[daemon] = SharedState::default();
                     restarted = Some(daemon);
                 }
             }
-            for (number, (digest, in_force)) in before.iter().enumerate() {
-                if restarted == Some(number) {
+            for (daemon_index, (digest, active_version)) in before.iter().enumerate() {
+                if restarted == Some(daemon_index) {
                     continue;
                 }
-                let now = daemons[number].digest(addr, false);
+                let now = daemons[daemon_index].digest(addr, false);
                 prop_assert!(now.config_version >= digest.config_version);
                 prop_assert!(now.keys_revision >= digest.keys_revision);
-                prop_assert!(daemons[number].config.as_ref().map_or(0, |c| c.version) >= *in_force);
+                let now_active = daemons[daemon_index].config.as_ref().map_or(0, |c| c.version);
+                prop_assert!(now_active >= *active_version);
             }
         }
         for _ in 0..2 {
@@ -151,9 +151,10 @@
         }
     }
 
-    /// A grant and a withdrawal race through different ways. What the store accepted last stands.
+    /// Guards against a withdrawn key that stays valid, or the reverse, when a grant and a withdrawal
+    /// arrive in another order than the store accepted them: the last one in the store wins.
     #[test]
-    fn grant_and_withdrawal_end_as_the_store_has_them(order in Just((1..40_u64).collect::<Vec<_>>()).prop_shuffle()) {
+    fn reordered_grants_and_withdrawals_end_as_in_the_store(order in Just((1..40_u64).collect::<Vec<_>>()).prop_shuffle()) {
         let mut table = Table::default();
         for revision in order {
             table.take(key(revision));
