--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -1,5 +1,6 @@
-//! How fast a change is in force everywhere, and what a daemon spends for control: in-process
-//! daemons (their control threads) on loopback, one change given to one of them.
+//! Measures how fast a configuration change reaches all daemons, and what replication costs a daemon in
+//! bytes and processor time. The daemons are control threads in this process on loopback; each change
+//! is given to one of them.
 //!
 //! `cargo bench --bench spread` prints one JSON line for each number of daemons.
 
@@ -15,9 +16,9 @@
 use tokio::task;
 
 const SECRET: &str = "a secret of the benches";
-const IDLE: Duration = Duration::from_secs(8);
-const CHANGES: u64 = 5;
-const COUNTS: [usize; 5] = [10, 20, 40, 80, 160];
+const IDLE_PERIOD: Duration = Duration::from_secs(8);
+const CHANGE_COUNT: u64 = 5;
+const DAEMON_COUNTS: [usize; 5] = [10, 20, 40, 80, 160];
 
 struct Daemon {
     hub: Arc<hub::Hub>,
@@ -25,7 +26,7 @@
 }
 
 fn main() {
-    for count in COUNTS {
+    for count in DAEMON_COUNTS {
         measure(count);
     }
 }
@@ -38,7 +39,7 @@
         zone: format!("zone-{}", number % 7).into(),
         peer_addr: any,
         admin_addr: any,
-        // Nobody answers there: what is measured is what the daemons do among themselves.
+        // No platform listens there, so that only the traffic between the daemons is measured.
         platform_url: "http://127.0.0.1:1".to_owned(),
         fleet_secret: SECRET.to_owned(),
         seeds,
@@ -75,10 +76,10 @@
     daemons.iter().map(|daemon| daemon.hub.bytes_out.load(Ordering::Relaxed)).sum()
 }
 
-fn wait(what: &str, mut done: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let end = Instant::now() + Duration::from_secs(120);
     while !done() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -90,34 +91,37 @@
     for number in 1..count {
         daemons.push(spawn(number, seeds.clone()));
     }
-    let known = |daemon: &Daemon| daemon.hub.shared.lock().map_or(0, |shared| shared.fleet.len());
-    wait("all to know each other", || daemons.iter().all(|daemon| known(daemon) >= count));
+    let known_members =
+        |daemon: &Daemon| daemon.hub.shared.lock().map_or(0, |shared| shared.fleet.len());
+    wait_until("all daemons to know each other", || {
+        daemons.iter().all(|daemon| known_members(daemon) >= count)
+    });
     std::thread::sleep(Duration::from_secs(2));
 
     let (bytes, cpu) = (bytes_out(&daemons), cpu_ms());
-    std::thread::sleep(IDLE);
-    let per_daemon_s = count as f64 * IDLE.as_secs_f64();
+    std::thread::sleep(IDLE_PERIOD);
+    let per_daemon_s = count as f64 * IDLE_PERIOD.as_secs_f64();
     let idle_bytes_per_s = (bytes_out(&daemons) - bytes) as f64 / per_daemon_s;
     let idle_cpu_ppm = (cpu_ms() - cpu) / 1000.0 / per_daemon_s * 1e6;
 
-    let mut all_ms: Vec<u64> = Vec::new();
+    let mut durations_ms: Vec<u64> = Vec::new();
     let bytes = bytes_out(&daemons);
-    for version in 1..=CHANGES {
+    for version in 1..=CHANGE_COUNT {
         let begin = Instant::now();
-        tell(daemons[version as usize % count].addr, version);
-        wait("the change", || {
+        announce_config(daemons[version as usize % count].addr, version);
+        wait_until("the change to reach all daemons", || {
             daemons.iter().all(|daemon| daemon.hub.snapshot.load().config_version() >= version)
         });
-        all_ms.push(begin.elapsed().as_millis() as u64);
+        durations_ms.push(begin.elapsed().as_millis() as u64);
     }
-    let change_bytes = (bytes_out(&daemons) - bytes) as f64 / (count as f64 * CHANGES as f64);
-    all_ms.sort_unstable();
+    let change_bytes = (bytes_out(&daemons) - bytes) as f64 / (count as f64 * CHANGE_COUNT as f64);
+    durations_ms.sort_unstable();
     println!(
         "{}",
         serde_json::json!({
             "daemons": count,
-            "change_to_all_median_ms": all_ms[all_ms.len() / 2],
-            "change_to_all_worst_ms": all_ms[all_ms.len() - 1],
+            "change_to_all_median_ms": durations_ms[durations_ms.len() / 2],
+            "change_to_all_worst_ms": durations_ms[durations_ms.len() - 1],
             "change_bytes_a_daemon": change_bytes.round(),
             "idle_bytes_per_s_a_daemon": idle_bytes_per_s.round(),
             "idle_cpu_ppm_of_a_core_a_daemon": idle_cpu_ppm.round(),
@@ -125,15 +129,15 @@
     );
 }
 
-/// Gives a daemon a new configuration, as a peer that has it.
-fn tell(addr: SocketAddr, version: u64) {
+/// Gives a daemon a new configuration: acts as a peer that has it, in a thread of its own.
+fn announce_config(addr: SocketAddr, version: u64) {
     std::thread::spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
-        runner.block_on(serve_one(addr, version));
+        runner.block_on(announce_and_serve(addr, version));
     });
 }
 
-async fn serve_one(addr: SocketAddr, version: u64) {
+async fn announce_and_serve(addr: SocketAddr, version: u64) {
     let secret = seal::Secret::fleet(SECRET);
     let mut own: SocketAddr = ([127, 0, 0, 1], 0).into();
     let sockets = bound::Pair::bind(&mut own).expect("a free port");
@@ -147,9 +151,9 @@
     );
     shared.merge_config(wire::ConfigText { version, text });
     let digest = wire::Datagram::Digest(shared.digest(own, true));
-    let bytes = seal::datagram(&secret, &digest).expect("short");
+    let bytes = seal::datagram(&secret, &digest).expect("a digest that fits a datagram");
     let shared = Rc::new(shared);
-    udp.send_to(&bytes, addr).await.expect("loopback takes it");
+    udp.send_to(&bytes, addr).await.expect("a send on loopback");
     for _ in 0..64 {
         let accept = tokio::time::timeout(Duration::from_secs(3), listener.accept());
         let Ok(Ok((stream, _))) = accept.await else {
