--- a/src/wire.rs
+++ b/src/wire.rs
@@ -49,7 +49,8 @@
     pub nonce: u64,
     pub endpoint: EndpointIndex,
     pub service: CompactString,
-    /// Orders the endpoint to accept no new work; the epoch is the fencing token of the order.
+    /// Orders the endpoint to accept no new work. The order comes from the lease holder of this epoch,
+    /// which serves as fencing token.
     pub drain: Option<lease::Epoch>,
 }
 
