--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -1,4 +1,5 @@
-//! Asking a few endpoints when the first token would start, and gathering their offers.
+//! Asks: queries sent over UDP to the sides of candidate endpoints for their expected time to first
+//! token. The offers that come back are collected for endpoint selection.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,32 +14,32 @@
 use super::Worker;
 use crate::{membership, metric, placement, seal, wire};
 
-/// How long after the first offer the others are waited for.
+/// How long to wait for further offers after the first one.
 const STRAGGLERS_MS: u64 = 3;
 
 #[derive(Debug)]
 struct Pending {
     target: placement::Target,
-    /// When the endpoint counts as silent.
-    late_at_ms: u64,
+    /// When the ask counts as unanswered.
+    expires_at_ms: u64,
     round: Rc<Round>,
 }
 
-/// One request's asks.
+/// The asks of one request that are sent together.
 #[derive(Debug, Default)]
 struct Round {
-    offers: RefCell<Vec<Answered>>,
-    arrived: Notify,
+    offers: RefCell<Vec<ReceivedOffer>>,
+    offer_received: Notify,
 }
 
-/// An offer with the endpoint it came from.
+/// An offer and the endpoint that sent it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answered {
+pub(super) struct ReceivedOffer {
     pub(super) target: placement::Target,
     pub(super) offer: wire::Offer,
 }
 
-/// The asks of a traffic thread.
+/// The UDP socket and the unanswered asks of a traffic thread.
 #[derive(Debug)]
 pub(super) struct Asks {
     socket: Option<UdpSocket>,
@@ -53,90 +54,93 @@
 }
 
 impl Worker {
-    /// Asks these endpoints and waits for their offers: for all, or a little past the first, or
-    /// until the limit. An ask with an idempotency key waits for all, or for one that holds the answer: passed
-    /// over, that one's run would be repeated elsewhere.
+    /// Asks these endpoints and collects their offers until all have answered or the time limit has
+    /// passed. Without an idempotency key it also stops `STRAGGLERS_MS` after the first offer. With
+    /// one it also stops when an endpoint holds the answer; it doesn't stop earlier, because a request
+    /// whose holder is missed would run a second time elsewhere.
     pub(super) async fn ask(
         &self,
         places: &[&membership::Place],
         ask: &wire::Ask,
         limit_ms: u64,
-    ) -> Vec<Answered> {
+    ) -> Vec<ReceivedOffer> {
         if places.is_empty() {
             return Vec::new();
         }
         let round = Rc::new(Round::default());
-        let late_at_ms = self.now_ms() + 2 * limit_ms;
+        let expires_at_ms = self.now_ms() + 2 * limit_ms;
         for place in places {
             let nonce = rand::random();
             let target = placement::Target::of(place);
             let ask = wire::Ask { nonce, endpoint: place.endpoint, ..ask.clone() };
-            let pending = Pending { target, late_at_ms, round: Rc::clone(&round) };
+            let pending = Pending { target, expires_at_ms, round: Rc::clone(&round) };
             self.asks.pending.borrow_mut().insert(nonce, pending);
             let sealed = seal::datagram(&self.common.secret, &wire::Datagram::Ask(ask));
             if let (Some(socket), Ok(bytes)) = (&self.asks.socket, sealed) {
-                // An ask that does not leave is an endpoint that does not answer.
+                // A failed send has the same effect as an endpoint that does not answer.
                 let _ = socket.try_send_to(&bytes, place.work_addr);
             }
         }
         let limit = Duration::from_millis(limit_ms);
-        let gathered = async {
+        let collect = async {
             match ask.idempotency {
-                Some(_) => holder_found(&round, places.len()).await,
-                None => gathered(&round, places.len()).await,
+                Some(_) => wait_for_holder(&round, places.len()).await,
+                None => wait_for_offers(&round, places.len()).await,
             }
         };
-        let _ = time::timeout(limit, gathered).await;
+        let _ = time::timeout(limit, collect).await;
         round.offers.take()
     }
 
-    /// Marks endpoints silent that have not answered in time.
-    pub(super) fn note_silent(&self) {
+    /// Drops asks that were not answered in time and records the timeout for their endpoints.
+    pub(super) fn expire_asks(&self) {
         let now_ms = self.now_ms();
         let mut silent = self.silent.borrow_mut();
         self.asks.pending.borrow_mut().retain(|_, pending| {
-            let late = now_ms > pending.late_at_ms;
-            if late {
+            let expired = now_ms > pending.expires_at_ms;
+            if expired {
                 silent.missed(pending.target, now_ms);
                 metrics::counter!("briarwinch_asks_unanswered_total").increment(1);
             }
-            !late
+            !expired
         });
     }
 
-    fn take_offer(&self, offer: wire::Offer) {
+    fn receive_offer(&self, offer: wire::Offer) {
         let Some(pending) = self.asks.pending.borrow_mut().remove(&offer.nonce) else {
             return;
         };
         self.silent.borrow_mut().answered(pending.target);
-        pending.round.offers.borrow_mut().push(Answered { target: pending.target, offer });
-        pending.round.arrived.notify_one();
+        pending.round.offers.borrow_mut().push(ReceivedOffer { target: pending.target, offer });
+        pending.round.offer_received.notify_one();
     }
 }
 
-async fn holder_found(round: &Round, wanted: usize) {
+/// Waits for all offers, or for one from an endpoint that holds the answer.
+async fn wait_for_holder(round: &Round, wanted: usize) {
     let is_found = || {
         let offers = round.offers.borrow();
-        offers.len() >= wanted || offers.iter().any(|one| one.offer.holds_answer)
+        offers.len() >= wanted || offers.iter().any(|received| received.offer.holds_answer)
     };
     while !is_found() {
-        round.arrived.notified().await;
+        round.offer_received.notified().await;
     }
 }
 
-async fn gathered(round: &Round, wanted: usize) {
+/// Waits for the first offer, then at most `STRAGGLERS_MS` for the others.
+async fn wait_for_offers(round: &Round, wanted: usize) {
     while round.offers.borrow().is_empty() {
-        round.arrived.notified().await;
+        round.offer_received.notified().await;
     }
     let rest = async {
         while round.offers.borrow().len() < wanted {
-            round.arrived.notified().await;
+            round.offer_received.notified().await;
         }
     };
     let _ = time::timeout(Duration::from_millis(STRAGGLERS_MS), rest).await;
 }
 
-/// Receives offers for as long as the thread lives.
+/// Receives offers for the lifetime of the thread.
 pub(super) async fn receive(worker: Rc<Worker>) {
     let Some(socket) = &worker.asks.socket else {
         return;
@@ -147,7 +151,7 @@
             continue;
         };
         match seal::open_datagram(&worker.common.secret, &buffer[..count]) {
-            Ok(wire::Datagram::Offer(offer)) => worker.take_offer(offer),
+            Ok(wire::Datagram::Offer(offer)) => worker.receive_offer(offer),
             Ok(_) => metric::count_reject(seal::Reject::Message),
             Err(reject) => metric::count_reject(reject),
         }
