--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -1,4 +1,4 @@
-//! From an HTTP request to what is to be done: key, body, class, service, limits.
+//! Admission of an HTTP request: checks key and limits, reads the body and resolves service and class.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use super::{Worker, relay, respond};
 use crate::{admission, body, config, error, explain, keys, openai, spread, trace, wire};
 
-/// Names the class of a request.
+/// Header that selects the class of a request.
 pub(super) const CLASS_HEADER: &str = "briarwinch-class";
-/// How long the caller waits, in ms.
+/// Header with the time that the caller waits, in ms.
 const DEADLINE_HEADER: &str = "briarwinch-deadline-ms";
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 const SERVICES_PATH: &str = "/services/";
 const DEFAULT_DEADLINE_MS: u32 = 600_000;
-const MAX_IDEMPOTENCY_BYTES: usize = 200;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 200;
 
-/// Headers of callers that are not passed on.
-const KEPT_BACK: [&str; 13] = [
+/// Request headers that are not forwarded to the endpoint.
+const STRIPPED_HEADERS: [&str; 13] = [
     "authorization",
     "connection",
     "content-length",
@@ -38,7 +38,7 @@
     "x-request-id",
 ];
 
-/// A request that may go to an endpoint.
+/// An admitted request.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) id: CompactString,
@@ -51,7 +51,7 @@
     pub(super) arrived_ms: u64,
     pub(super) deadline_at_ms: u64,
     pub(super) target_at_ms: u64,
-    /// This thread's part of the account's rate, if it has one.
+    /// This thread's share of the account's token rate, if the account has a limit.
     pub(super) tokens_per_s: Option<f64>,
     pub(super) prompt_tokens: u32,
     pub(super) max_tokens: u32,
@@ -63,7 +63,7 @@
     pub(super) call: wire::Call,
 }
 
-/// Counts a request while it is under way.
+/// Counts a request as in progress until it is dropped.
 #[derive(Debug)]
 pub(super) struct Active {
     worker: Rc<Worker>,
@@ -71,10 +71,11 @@
 }
 
 impl Active {
-    fn begin(worker: &Rc<Worker>, account: &CompactString, most: u32) -> Option<Self> {
-        let mut accounts = worker.accounts.borrow_mut();
-        let count = accounts.entry(account.clone()).or_default();
-        if *count >= most {
+    /// Returns `None` when the account has reached its concurrency limit on this thread.
+    fn begin(worker: &Rc<Worker>, account: &CompactString, max_concurrent: u32) -> Option<Self> {
+        let mut active_by_account = worker.active_by_account.borrow_mut();
+        let count = active_by_account.entry(account.clone()).or_default();
+        if *count >= max_concurrent {
             return None;
         }
         *count += 1;
@@ -86,17 +87,17 @@
 impl Drop for Active {
     fn drop(&mut self) {
         self.worker.common.active.fetch_sub(1, Ordering::AcqRel);
-        let mut accounts = self.worker.accounts.borrow_mut();
-        if let Some(count) = accounts.get_mut(&self.account) {
+        let mut active_by_account = self.worker.active_by_account.borrow_mut();
+        if let Some(count) = active_by_account.get_mut(&self.account) {
             *count -= 1;
             if *count == 0 {
-                accounts.remove(&self.account);
+                active_by_account.remove(&self.account);
             }
         }
     }
 }
 
-/// Handles every request of a caller.
+/// Handles an HTTP request of a caller.
 pub(super) async fn handle(
     http: HttpRequest,
     payload: web::types::Payload,
@@ -111,12 +112,12 @@
         trace_id: format!("{:032x}", span.context.trace),
         ..Default::default()
     };
-    if let Some(response) = own_path(worker, &http) {
+    if let Some(response) = answer_locally(worker, &http) {
         return response;
     }
     let begin_ms = worker.now_ms();
-    let taken = take(worker, &http, payload, id, span.context, &mut story).await;
-    let mut response = match taken {
+    let admitted = admit(worker, &http, payload, id, span.context, &mut story).await;
+    let mut response = match admitted {
         Ok((request, active)) => relay::relay(worker, request, active, story, span).await,
         Err(refusal) => {
             span.end(&worker.common.spans, &story.request);
@@ -124,21 +125,21 @@
         }
     };
     if worker.common.hub.draining.load(Ordering::Relaxed) {
-        // A caller that keeps its connection would send its next request into a process that has
-        // gone by then, and see it cut.
+        // On a kept connection the caller's next request could reach the process after it has
+        // exited, and the caller would see the connection break.
         response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
     }
     response
 }
 
-/// `/v1/models` and the like, which the entry answers itself.
-fn own_path(worker: &Worker, http: &HttpRequest) -> Option<HttpResponse> {
+/// Answers `/v1/models`, which needs no endpoint; returns `None` for other requests.
+fn answer_locally(worker: &Worker, http: &HttpRequest) -> Option<HttpResponse> {
     if http.path() != "/v1/models" || *http.method() != Method::GET {
         return None;
     }
     let snapshot = worker.snapshot();
     if let Err(refusal) = check_key(&snapshot, http) {
-        return Some(respond::bare_refusal(&refusal, ""));
+        return Some(respond::refusal_response(&refusal, ""));
     }
     let config = &snapshot.config.as_ref()?.model;
     let data = config.services.iter().flat_map(|service| {
@@ -170,8 +171,8 @@
     snapshot.keys.check(text)
 }
 
-/// Reads and checks a request.
-async fn take(
+/// Checks a request against its account's limits, reads its body and resolves where it goes.
+async fn admit(
     worker: &Rc<Worker>,
     http: &HttpRequest,
     payload: web::types::Payload,
@@ -185,31 +186,32 @@
     let key = check_key(&snapshot, http)?;
     story.key = key.record.id.clone();
     story.account = key.record.account.clone();
-    let in_force = snapshot.config.as_ref().ok_or_else(|| refuse(error::Kind::NotReady))?;
-    story.config_version = in_force.version;
-    let config = &in_force.model;
+    let active_config = snapshot.config.as_ref().ok_or_else(|| refuse(error::Kind::NotReady))?;
+    story.config_version = active_config.version;
+    let config = &active_config.model;
     let account =
         config.account(&key.record.account).map(|key| config.account_at(key)).ok_or_else(|| {
             refuse(error::Kind::InvalidKey).detail("Its account is no longer served.")
         })?;
-    let most = account.max_concurrent.div_ceil(worker.common.settings.workers as u32);
-    let active = Active::begin(worker, &account.name, most)
+    let max_concurrent = account.max_concurrent.div_ceil(worker.common.settings.workers as u32);
+    let active = Active::begin(worker, &account.name, max_concurrent)
         .ok_or_else(|| refuse(error::Kind::AccountLimit).retry_after_ms(1_000))?;
     let tokens_per_s = account.tokens_per_s.map(|rate_per_s| {
         admission::part_per_s(rate_per_s, snapshot.entries, worker.common.settings.workers)
     });
     if let Some(rate_per_s) = tokens_per_s {
-        let admitted = worker.budgets.borrow_mut().admit(&account.name, rate_per_s, arrived_ms);
+        let admitted =
+            worker.token_budgets.borrow_mut().admit(&account.name, rate_per_s, arrived_ms);
         admitted.map_err(|wait_ms| refuse(error::Kind::AccountLimit).retry_after_ms(wait_ms))?;
     }
     let settings = &worker.common.settings;
     let limit = Duration::from_millis(settings.request_arrival_ms);
     let body = body::read(payload, settings.max_body_bytes, limit).await?;
-    check_no_key(http, &body)?;
-    let wanted = wanted(config, http, &body)?;
-    let service = config.service_at(wanted.service);
+    check_key_not_forwarded(http, &body)?;
+    let destination = destination(config, http, &body)?;
+    let service = config.service_at(destination.service);
     story.service = service.name.clone();
-    let class_key = class_of(config, http, account, service)?;
+    let class_key = resolve_class(config, http, account, service)?;
     let class = config.class_at(class_key);
     story.class = class.name.clone();
     let is_safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
@@ -218,7 +220,7 @@
     if !repeatable && idempotency.is_none() {
         return Err(refuse(error::Kind::IdempotencyKeyRequired));
     }
-    let digest = request_digest(worker, http, &wanted.path, &body);
+    let digest = request_digest(worker, http, &destination.path, &body);
     let deadline_ms = text_header(http, DEADLINE_HEADER)
         .map_or(Ok(DEFAULT_DEADLINE_MS), str::parse)
         .map_err(|_| refuse(error::Kind::InvalidRequest).detail("The deadline is no number."))?;
@@ -233,17 +235,17 @@
         deadline_at_ms: arrived_ms + u64::from(deadline_ms),
         target_at_ms: arrived_ms + u64::from(class.text.latency_target_ms),
         tokens_per_s,
-        prompt_tokens: wanted.prompt_tokens,
-        max_tokens: wanted.max_tokens,
-        prefix: wanted.prefix,
+        prompt_tokens: destination.prompt_tokens,
+        max_tokens: destination.max_tokens,
+        prefix: destination.prefix,
         idempotency,
         request_digest: digest,
         repeatable,
         trace,
         call: wire::Call {
             method: http.method().as_str().into(),
-            path: wanted.path,
-            headers: passed_headers(http),
+            path: destination.path,
+            headers: forwarded_headers(http),
             body,
         },
         snapshot: Arc::clone(&snapshot),
@@ -251,8 +253,8 @@
     Ok((request, active))
 }
 
-/// Refuses a request that carries its key anywhere an endpoint would see it.
-fn check_no_key(http: &HttpRequest, body: &[u8]) -> Result<(), error::Refusal> {
+/// Refuses a request that carries its key in a place that is forwarded to the endpoint.
+fn check_key_not_forwarded(http: &HttpRequest, body: &[u8]) -> Result<(), error::Refusal> {
     let Some(key) = bearer(http) else {
         return Ok(());
     };
@@ -267,8 +269,8 @@
     Ok(())
 }
 
-/// What a request wants, out of its path and body.
-struct Wanted {
+/// The service that a request is for and its size, taken from path and body.
+struct Destination {
     service: config::ServiceKey,
     path: String,
     prompt_tokens: u32,
@@ -276,11 +278,11 @@
     prefix: u64,
 }
 
-fn wanted(
+fn destination(
     config: &config::Config,
     http: &HttpRequest,
     body: &[u8],
-) -> Result<Wanted, error::Refusal> {
+) -> Result<Destination, error::Refusal> {
     let refuse = error::Refusal::not_run;
     let path = http.path();
     if matches!(path, "/v1/chat/completions" | "/v1/completions") {
@@ -292,7 +294,7 @@
         let service = config.model(&completion.model).ok_or_else(|| {
             refuse(error::Kind::UnknownModel).detail(format!("(`{}`)", completion.model))
         })?;
-        return Ok(Wanted {
+        return Ok(Destination {
             service,
             path: path.to_owned(),
             prompt_tokens: completion.prompt_tokens,
@@ -307,7 +309,7 @@
         .filter(|key| config.service_at(*key).text.kind == config::ServiceKind::Plain)
         .ok_or_else(|| refuse(error::Kind::UnknownService).detail(format!("(`{name}`)")))?;
     let query = http.uri().query().map_or(String::new(), |query| format!("?{query}"));
-    Ok(Wanted {
+    Ok(Destination {
         service,
         path: format!("/{rest}{query}"),
         prompt_tokens: 1,
@@ -316,7 +318,7 @@
     })
 }
 
-fn class_of(
+fn resolve_class(
     config: &config::Config,
     http: &HttpRequest,
     account: &config::Account,
@@ -339,11 +341,11 @@
     let Some(key) = text_header(http, IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_BYTES {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
         return Err(error::Refusal::not_run(error::Kind::InvalidRequest)
             .detail("An idempotency key has 1 to 200 bytes."));
     }
-    // The account is part of it: equal keys of two accounts must never meet.
+    // The account is part of the digest, so that equal keys of two accounts never collide.
     let parts = [account.as_bytes(), service.as_bytes(), key.as_bytes()];
     Ok(Some(worker.common.secret.pseudonym(&parts)))
 }
@@ -352,10 +354,10 @@
     worker.common.secret.pseudonym(&[http.method().as_str().as_bytes(), path.as_bytes(), body])
 }
 
-fn passed_headers(http: &HttpRequest) -> Vec<wire::Header> {
+fn forwarded_headers(http: &HttpRequest) -> Vec<wire::Header> {
     http.headers()
         .iter()
-        .filter(|(name, _)| !KEPT_BACK.contains(&name.as_str()))
+        .filter(|(name, _)| !STRIPPED_HEADERS.contains(&name.as_str()))
         .filter(|(name, _)| !name.as_str().starts_with("briarwinch-"))
         .filter_map(|(name, value)| {
             let value = value.to_str().ok()?.to_owned();
