--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,5 @@
-//! Links to sides: one a traffic thread and side, opened on first use, shared by all streams.
+//! Links to sides. Each traffic thread has one link to a side, opened on first use and multiplexed
+//! between the streams of its requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,19 +14,20 @@
 
 use crate::{error, link, seal, wire};
 
-/// What comes in on a stream.
+/// An event received on a stream.
 #[derive(Debug)]
 pub(super) enum Event {
     Head(wire::Head),
     Data(wire::Data),
     End(wire::End),
     Refused(error::Refusal),
-    /// The link is gone.
+    /// The link was lost.
     Lost,
 }
 
 #[derive(Debug)]
 struct Slot {
+    /// Distinguishes the streams that use the same slot one after another.
     generation: u32,
     events: UnboundedSender<Event>,
 }
@@ -36,7 +38,7 @@
     generation: u32,
 }
 
-/// One link to a side.
+/// A link to a side.
 #[derive(Debug)]
 pub(super) struct Link {
     outbox: link::Outbox,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The link to a side, opened if need be.
+    /// Returns the link to a side; opens it if there is none or it was lost.
     pub(super) async fn get(&self, addr: SocketAddr) -> Result<Rc<Link>, std::io::Error> {
         let cell = {
             let mut by_addr = self.by_addr.borrow_mut();
@@ -88,11 +90,11 @@
     while let Ok(Some(frame)) = inbox.next::<wire::ToEntry>().await {
         link.dispatch(frame);
     }
-    link.lose();
+    link.mark_lost();
 }
 
 impl Link {
-    /// Opens a stream: its name, and what will come in on it.
+    /// Opens a stream with a new identifier.
     pub(super) fn open_stream(self: &Rc<Self>) -> Stream {
         let (events, receiver) = mpsc::unbounded_channel();
         let mut streams = self.streams.borrow_mut();
@@ -111,8 +113,8 @@
             wire::ToEntry::Refused(refused) => (refused.stream, Event::Refused(refused.refusal)),
         };
         let streams = self.streams.borrow();
-        // A frame of a stream that has been given up can arrive after its slot went to another
-        // request. Without the generation its bytes would reach the wrong caller.
+        // A frame of a dropped stream can arrive after its slot was reused for another request.
+        // Without the generation check its bytes would reach the wrong caller.
         match streams.slots.get(id.slot as usize) {
             Some(slot) if slot.generation == id.generation => {
                 let _ = slot.events.send(event);
@@ -121,7 +123,7 @@
         }
     }
 
-    fn lose(&self) {
+    fn mark_lost(&self) {
         self.lost.set(true);
         self.outbox.close();
         for (_, slot) in &self.streams.borrow().slots {
@@ -130,13 +132,13 @@
     }
 }
 
-/// One request's stream on a link. Dropped before its end, it cancels the request.
+/// The stream of one request on a link. Dropping it before its end cancels the request at the side.
 #[derive(Debug)]
 pub(super) struct Stream {
     link: Rc<Link>,
     pub(super) id: wire::StreamId,
     pub(super) events: UnboundedReceiver<Event>,
-    /// Nothing more will come.
+    /// The side sends no more frames on this stream.
     pub(super) ended: bool,
 }
 
