--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! The process that callers reach: checks the key, names class and account, chooses an endpoint,
-//! submits, and streams the answer back.
+//! The entry: the process that callers connect to. It checks the API key, resolves class and account,
+//! selects an endpoint, submits the request to that endpoint's side and streams the answer back.
 //!
-//! Each traffic thread has its own links, asks and budgets and shares nothing with the others but
-//! the hub; the control thread hands all of them snapshots.
+//! Each traffic thread has its own links, asks and budgets. The threads share only `Common`; the
+//! control thread publishes snapshots to them through the hub.
 
 mod asks;
 mod intake;
@@ -29,16 +29,16 @@
     seal, settings, spread, trace,
 };
 
-/// How long an idle connection of a caller is kept.
+/// How long an idle caller connection is kept open.
 const KEEP_ALIVE_S: u16 = 75;
-/// How often a drain looks whether all is done.
+/// Interval at which a drain checks whether all requests have ended.
 const DRAIN_POLL_MS: u64 = 20;
-/// How long after the last request a drain waits for one that the balancer still sends.
-const DRAIN_QUIET_MS: u64 = 600;
-/// How often streams are looked over for withdrawn keys.
+/// How long a drain waits after the last request, because the load balancer may still send new ones.
+const DRAIN_IDLE_MS: u64 = 600;
+/// Interval at which withdrawn keys and unanswered asks are checked.
 const SWEEP_MS: u64 = 100;
 
-/// What all traffic threads of an entry share.
+/// State shared by all traffic threads of an entry.
 #[derive(Debug)]
 struct Common {
     settings: settings::Entry,
@@ -47,6 +47,7 @@
     secret: seal::Secret,
     spans: trace::Sink,
     ring: Arc<explain::Ring>,
+    /// Number of requests in progress.
     active: AtomicUsize,
 }
 
@@ -57,20 +58,21 @@
     links: links::Links,
     asks: asks::Asks,
     silent: RefCell<placement::Silent>,
-    budget: RefCell<retry::Budget>,
-    /// Token budgets of the accounts that have one.
-    budgets: RefCell<admission::Budgets>,
-    /// Requests under way, by account.
-    accounts: RefCell<HashMap<CompactString, u32>>,
-    /// Wakes streams when keys were withdrawn.
+    retry_budget: RefCell<retry::Budget>,
+    /// Token budgets of the accounts that have a token rate limit.
+    token_budgets: RefCell<admission::Budgets>,
+    /// Number of requests in progress, by account.
+    active_by_account: RefCell<HashMap<CompactString, u32>>,
+    /// Revision of the key table at the last sweep.
     keys_revision: Cell<u64>,
+    /// Wakes all streams when the key table has changed, so that they check for withdrawn keys.
     keys_changed: tokio::sync::Notify,
 }
 
-/// Runs an entry until it is told to stop and has drained.
+/// Runs an entry until it receives a stop signal and has drained.
 ///
 /// # Errors
-/// When an address cannot be bound.
+/// Returns an error when an address cannot be bound.
 pub async fn run(mut settings: settings::Entry, log: slog::Logger) -> anyhow::Result<()> {
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
@@ -110,13 +112,13 @@
     listener: std::net::TcpListener,
 ) -> anyhow::Result<ntex::server::Server> {
     let workers = common.settings.workers;
-    let arrival_s = Seconds((common.settings.request_arrival_ms / 1000).max(1) as u16);
+    let client_timeout_s = Seconds((common.settings.request_arrival_ms / 1000).max(1) as u16);
     let http = HttpServiceConfig::new()
         .set_keepalive(KeepAlive::Timeout(Seconds(KEEP_ALIVE_S)))
-        .set_client_timeout(arrival_s);
+        .set_client_timeout(client_timeout_s);
     let shared = Arc::clone(common);
     let server = HttpServer::new(async move || {
-        let worker = Worker::open(Arc::clone(&shared)).await;
+        let worker = Worker::start(Arc::clone(&shared)).await;
         App::new().state(worker).default_service(web::route().to(intake::handle))
     })
     .workers(workers)
@@ -128,20 +130,21 @@
     Ok(server)
 }
 
-/// Says it is not ready first, so that the balancer turns away, then waits for all that runs.
+/// Reports not ready, so that the load balancer stops sending requests, then waits until the requests
+/// in progress have ended or the drain limit has passed.
 async fn drain(common: &Common) {
     let hub = &common.hub;
     hub.draining.store(true, Ordering::Release);
     let limit_ms = common.settings.daemon.drain_ms;
     slog::info!(common.log, "draining"; "limit_ms" => limit_ms);
-    let end_ms = hub.now_ms() + limit_ms;
-    let mut quiet_since_ms = hub.now_ms();
+    let deadline_ms = hub.now_ms() + limit_ms;
+    let mut idle_since_ms = hub.now_ms();
     loop {
         let now_ms = hub.now_ms();
         if common.active.load(Ordering::Acquire) > 0 {
-            quiet_since_ms = now_ms;
+            idle_since_ms = now_ms;
         }
-        if now_ms >= end_ms || now_ms - quiet_since_ms >= DRAIN_QUIET_MS {
+        if now_ms >= deadline_ms || now_ms - idle_since_ms >= DRAIN_IDLE_MS {
             break;
         }
         time::sleep(Duration::from_millis(DRAIN_POLL_MS)).await;
@@ -150,16 +153,16 @@
 }
 
 impl Worker {
-    async fn open(common: Arc<Common>) -> Rc<Self> {
+    async fn start(common: Arc<Common>) -> Rc<Self> {
         let asks = asks::Asks::bind(common.settings.daemon.peer_addr.ip()).await;
         let worker = Rc::new(Self {
             links: links::Links::new(&common),
             asks,
             common,
             silent: RefCell::default(),
-            budget: RefCell::default(),
-            accounts: RefCell::default(),
-            budgets: RefCell::default(),
+            retry_budget: RefCell::default(),
+            active_by_account: RefCell::default(),
+            token_budgets: RefCell::default(),
             keys_revision: Cell::new(0),
             keys_changed: tokio::sync::Notify::new(),
         });
@@ -177,7 +180,7 @@
     }
 }
 
-/// Wakes streams after keys have changed, and notes endpoints that did not answer.
+/// Periodically wakes streams after a change of keys and records endpoints that did not answer an ask.
 async fn sweep(worker: Rc<Worker>) {
     loop {
         time::sleep(Duration::from_millis(SWEEP_MS)).await;
@@ -185,6 +188,6 @@
         if worker.keys_revision.replace(revision) != revision {
             worker.keys_changed.notify_waiters();
         }
-        worker.note_silent();
+        worker.expire_asks();
     }
 }
