--- a/src/entry/reader.rs
+++ b/src/entry/reader.rs
@@ -1,7 +1,7 @@
-//! Reads one request's answer off its stream, and takes it up again when the link is lost.
+//! Reads the answer of one request from its stream and resumes it after a lost link.
 //!
-//! After the first byte a stream is never started anew: the side is asked for the same run from
-//! the byte after the last one received, so an answer is whole or says that it is not.
+//! After the first byte a request is never started again: the entry asks the same side for the same run
+//! from the byte after the last one received. So an answer is complete or ends with an error.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -14,20 +14,20 @@
 use super::{Worker, links};
 use crate::{error, placement, wire};
 
-/// Credit a stream starts with, and how much is gathered before more is given.
-const CREDIT_BYTES: u32 = 32 << 10;
+/// Initial flow control credit of a stream, and the number of bytes received before more is granted.
+const INITIAL_CREDIT_BYTES: u32 = 32 << 10;
 const CREDIT_STEP_BYTES: u32 = 8 << 10;
-/// Tries to take up a run whose link was lost, and the pause before each.
-const TAKE_UP_TRIES: u32 = 6;
-const TAKE_UP_PAUSE_MS: u64 = 60;
-/// How long a side has to say whether a request ran whose key was withdrawn.
-const REVOKE_MS: u64 = 1_000;
+/// Attempts to resume a run after its link was lost, and the base of the exponential backoff between them.
+const RESUME_ATTEMPTS: u32 = 6;
+const RESUME_BACKOFF_MS: u64 = 60;
+/// Time limit for a side to report whether a request with a withdrawn key has run.
+const REVOKE_TIMEOUT_MS: u64 = 1_000;
 
-type TakingUp = Pin<Box<dyn Future<Output = Result<links::Stream, error::Refusal>>>>;
+type Resumption = Pin<Box<dyn Future<Output = Result<links::Stream, error::Refusal>>>>;
 
 enum Source {
     Open(links::Stream),
-    TakingUp(TakingUp),
+    Resuming(Resumption),
     Ended,
 }
 
@@ -35,17 +35,18 @@
 pub(super) struct Reader {
     worker: Rc<Worker>,
     target: placement::Target,
-    /// The request as submitted, without its body, to take the run up again.
-    again: Rc<wire::Submit>,
+    /// The request as submitted, but without its body, to resume the run.
+    resubmit: Rc<wire::Submit>,
     source: Source,
-    top_seen: bool,
+    head_seen: bool,
     /// Body bytes received.
     pub(super) received: u64,
     uncredited: u32,
     keys_revision: u64,
-    key_wait: Option<Pin<Box<dyn Future<Output = ()>>>>,
-    /// Runs out when the side has not answered a revocation.
-    revoked: Option<Pin<Box<time::Sleep>>>,
+    /// Completes when the key table has changed.
+    keys_changed: Option<Pin<Box<dyn Future<Output = ()>>>>,
+    /// Timeout of a revocation sent to the side.
+    revoke_timeout: Option<Pin<Box<time::Sleep>>>,
 }
 
 impl std::fmt::Debug for Reader {
@@ -54,12 +55,12 @@
     }
 }
 
-/// What a reader gives next.
+/// The next part of an answer.
 #[derive(Debug)]
 pub(super) enum Next {
-    Top(wire::Head),
-    Piece(Vec<u8>),
-    /// The answer is whole.
+    Head(wire::Head),
+    Chunk(Vec<u8>),
+    /// The answer is complete.
     End(wire::End),
 }
 
@@ -75,45 +76,45 @@
         })?;
         let stream = link.open_stream();
         submit.stream = stream.id;
-        submit.credit_bytes = CREDIT_BYTES;
+        submit.credit_bytes = INITIAL_CREDIT_BYTES;
         let frame = wire::ToSide::Submit(Box::new(submit));
         if !stream.send(&frame) {
             return Err(error::Refusal::not_run(error::Kind::LinkLost));
         }
-        let wire::ToSide::Submit(mut again) = frame else { unreachable!("built above") };
-        again.call.body = Vec::new();
+        let wire::ToSide::Submit(mut resubmit) = frame else { unreachable!("built above") };
+        resubmit.call.body = Vec::new();
         Ok(Self {
             worker: Rc::clone(worker),
             target,
-            again: Rc::new(*again),
+            resubmit: Rc::new(*resubmit),
             source: Source::Open(stream),
-            top_seen: false,
+            head_seen: false,
             received: 0,
             uncredited: 0,
             keys_revision: 0,
-            key_wait: None,
-            revoked: None,
+            keys_changed: None,
+            revoke_timeout: None,
         })
     }
 
-    /// The next part of the answer.
+    /// Returns the next part of the answer, `None` after its end.
     pub(super) async fn next(&mut self) -> Option<Result<Next, error::Refusal>> {
         poll_fn(|context| self.poll_next(context)).await
     }
 
-    /// The next part of the answer; `None` after its end.
+    /// Polls for the next part of the answer; `None` after its end.
     pub(super) fn poll_next(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Next, error::Refusal>>> {
-        if let Some(refusal) = self.key_withdrawn(context) {
+        if let Some(refusal) = self.poll_withdrawal(context) {
             self.source = Source::Ended;
             return Poll::Ready(Some(Err(refusal)));
         }
         loop {
             let event = match &mut self.source {
                 Source::Ended => return Poll::Ready(None),
-                Source::TakingUp(taking_up) => match taking_up.as_mut().poll(context) {
+                Source::Resuming(resumption) => match resumption.as_mut().poll(context) {
                     Poll::Pending => return Poll::Pending,
                     Poll::Ready(Ok(stream)) => {
                         self.source = Source::Open(stream);
@@ -126,19 +127,19 @@
                     Poll::Ready(event) => event.unwrap_or(links::Event::Lost),
                 },
             };
-            if let Some(next) = self.take(event) {
+            if let Some(next) = self.handle_event(event) {
                 return Poll::Ready(Some(next));
             }
         }
     }
 
-    fn take(&mut self, event: links::Event) -> Option<Result<Next, error::Refusal>> {
+    fn handle_event(&mut self, event: links::Event) -> Option<Result<Next, error::Refusal>> {
         match event {
             links::Event::Head(head) => {
-                let first = !std::mem::replace(&mut self.top_seen, true);
-                first.then_some(Ok(Next::Top(head)))
+                let first = !std::mem::replace(&mut self.head_seen, true);
+                first.then_some(Ok(Next::Head(head)))
             }
-            links::Event::Data(data) => self.take_data(data),
+            links::Event::Data(data) => self.handle_data(data),
             links::Event::End(end) => {
                 if end.length != self.received {
                     return Some(Err(self.fail("The answer has a gap.")));
@@ -152,10 +153,10 @@
             }
             links::Event::Lost => {
                 self.end();
-                self.source = Source::TakingUp(Box::pin(take_up(
+                self.source = Source::Resuming(Box::pin(resume(
                     Rc::clone(&self.worker),
                     self.target,
-                    Rc::clone(&self.again),
+                    Rc::clone(&self.resubmit),
                     self.received,
                 )));
                 None
@@ -163,9 +164,9 @@
         }
     }
 
-    fn take_data(&mut self, data: wire::Data) -> Option<Result<Next, error::Refusal>> {
-        // After a run is taken up, frames may come twice or begin earlier; only what directly
-        // follows the bytes received is passed on, so nothing doubles and nothing is left out.
+    fn handle_data(&mut self, data: wire::Data) -> Option<Result<Next, error::Refusal>> {
+        // After a run is resumed, frames may repeat or overlap bytes already received. Only the bytes
+        // that directly follow those received are passed on, so none is duplicated or missing.
         let Some(skip) = self.received.checked_sub(data.offset) else {
             return Some(Err(self.fail("The answer has a gap.")));
         };
@@ -175,11 +176,11 @@
         }
         let bytes = if skip == 0 { data.bytes } else { fresh.to_vec() };
         self.received += bytes.len() as u64;
-        self.give_credit(bytes.len() as u32);
-        Some(Ok(Next::Piece(bytes)))
+        self.grant_credit(bytes.len() as u32);
+        Some(Ok(Next::Chunk(bytes)))
     }
 
-    fn give_credit(&mut self, bytes: u32) {
+    fn grant_credit(&mut self, bytes: u32) {
         self.uncredited += bytes;
         if self.uncredited < CREDIT_STEP_BYTES {
             return;
@@ -203,70 +204,70 @@
         self.source = Source::Ended;
     }
 
-    /// Has the side end the stream: only the side knows whether the request has run.
+    /// Tells the side to end the stream, because only the side knows whether the request has run.
     fn revoke(&mut self) {
-        if let (Source::Open(stream), None) = (&self.source, &self.revoked) {
+        if let (Source::Open(stream), None) = (&self.source, &self.revoke_timeout) {
             stream.send(&wire::ToSide::Revoke(stream.id));
         }
-        let limit = Duration::from_millis(REVOKE_MS);
-        self.revoked.get_or_insert_with(|| Box::pin(time::sleep(limit)));
+        let limit = Duration::from_millis(REVOKE_TIMEOUT_MS);
+        self.revoke_timeout.get_or_insert_with(|| Box::pin(time::sleep(limit)));
     }
 
-    /// Ends the stream when its key has been withdrawn and the side does not end it in time;
-    /// otherwise sees to it that the stream is woken when keys change.
-    fn key_withdrawn(&mut self, context: &mut Context<'_>) -> Option<error::Refusal> {
+    /// Revokes the stream when its key has been withdrawn, and returns the refusal when the side does
+    /// not end the stream in time. Otherwise registers to be woken when keys change.
+    fn poll_withdrawal(&mut self, context: &mut Context<'_>) -> Option<error::Refusal> {
         loop {
-            if let Some(limit) = &mut self.revoked {
-                let late = limit.as_mut().poll(context).is_ready();
-                return late.then(|| error::Refusal::unknown(error::Kind::KeyWithdrawn));
+            if let Some(timeout) = &mut self.revoke_timeout {
+                let expired = timeout.as_mut().poll(context).is_ready();
+                return expired.then(|| error::Refusal::unknown(error::Kind::KeyWithdrawn));
             }
             let revision = self.worker.keys_revision.get();
             if self.keys_revision != revision {
                 self.keys_revision = revision;
                 let snapshot = self.worker.common.hub.snapshot.load();
-                if snapshot.keys.is_withdrawn(&self.again.key) {
+                if snapshot.keys.is_withdrawn(&self.resubmit.key) {
                     drop(snapshot);
                     self.revoke();
                 }
             }
             let worker = Rc::clone(&self.worker);
-            let wait = self.key_wait.get_or_insert_with(|| {
+            let changed = self.keys_changed.get_or_insert_with(|| {
                 Box::pin(async move { worker.keys_changed.notified().await })
             });
-            match wait.as_mut().poll(context) {
+            match changed.as_mut().poll(context) {
                 Poll::Pending => return None,
-                Poll::Ready(()) => self.key_wait = None,
+                Poll::Ready(()) => self.keys_changed = None,
             }
         }
     }
 }
 
-/// Asks the same side for the same run from an offset on.
-async fn take_up(
+/// Asks the same side for the rest of the same run, starting at an offset.
+async fn resume(
     worker: Rc<Worker>,
     target: placement::Target,
-    again: Rc<wire::Submit>,
+    resubmit: Rc<wire::Submit>,
     from_offset: u64,
 ) -> Result<links::Stream, error::Refusal> {
-    let mut last = String::new();
-    for attempt in 0..TAKE_UP_TRIES {
+    let mut last_error = String::new();
+    for attempt in 0..RESUME_ATTEMPTS {
         if attempt > 0 {
-            let pause_ms = TAKE_UP_PAUSE_MS << attempt;
-            time::sleep(Duration::from_millis(pause_ms)).await;
+            let backoff_ms = RESUME_BACKOFF_MS << attempt;
+            time::sleep(Duration::from_millis(backoff_ms)).await;
         }
         let link = match worker.links.get(target.work_addr).await {
             Ok(link) => link,
             Err(error) => {
-                last = error.to_string();
+                last_error = error.to_string();
                 if error.kind() == std::io::ErrorKind::ConnectionRefused {
-                    // Nobody listens there any more: the process has gone and its runs with it.
+                    // Nothing listens at the address: the process has exited and its runs are lost.
                     break;
                 }
                 continue;
             }
         };
         let stream = link.open_stream();
-        let mut submit = (*again).clone();
+        let mut submit = (*resubmit).clone();
         submit.stream = stream.id;
         submit.from_offset = from_offset;
         submit.take_up = true;
@@ -275,5 +276,5 @@
             return Ok(stream);
         }
     }
-    Err(error::Refusal::unknown(error::Kind::LinkLost).detail(last))
+    Err(error::Refusal::unknown(error::Kind::LinkLost).detail(last_error))
 }
