--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! Finds an endpoint for a request and carries its answer back; tries another where that is safe.
+//! Selects an endpoint for a request and relays its answer; retries at another endpoint where that is safe.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -9,18 +9,19 @@
 use super::{Worker, asks, intake, respond};
 use crate::{error, explain, membership, placement, trace, wire};
 
-/// Endpoints asked at most when looking for one that holds an answer already.
+/// Maximum number of endpoints asked to find one that already holds the answer.
 const MAX_HOLDERS_ASKED: usize = 64;
-/// Times a request is asked for at most, each with so many times the patience of the one before.
+/// Maximum number of rounds of asks for a request.
 const ASK_ROUNDS: u32 = 4;
-/// How long an ask with an idempotency key waits for endpoints that may hold the answer: longer than an
-/// instance stalls on a busy day.
-const HOLDER_MS: u64 = 500;
-const ASK_PATIENCE: u64 = 4;
-/// Tries at most, whatever the retry budget holds.
-const MAX_TRIES: usize = 4;
+/// Minimum time limit of an ask with an idempotency key, whose answer an endpoint may already hold.
+/// Longer than an instance stalls under heavy load.
+const HOLDER_ASK_MS: u64 = 500;
+/// Factor by which the time limit of asks grows from one round to the next.
+const ASK_LIMIT_FACTOR: u64 = 4;
+/// Maximum number of attempts for a request, even when the retry budget allows more.
+const MAX_ATTEMPTS: usize = 4;
 
-/// Serves a request to its end.
+/// Serves an admitted request with an answer or a refusal.
 pub(super) async fn relay(
     worker: &Rc<Worker>,
     request: intake::Request,
@@ -29,12 +30,12 @@
     span: trace::Span,
 ) -> HttpResponse {
     let begin_ms = request.arrived_ms;
-    worker.budget.borrow_mut().earn();
+    worker.retry_budget.borrow_mut().earn();
     let opened = open(worker, &request, &mut story).await;
     match opened {
         Ok((reader, head)) => {
-            let parts = respond::Parts { request, active, story, span };
-            respond::answer(worker, parts, reader, head).await
+            let context = respond::AnswerContext { request, active, story, span };
+            respond::answer(worker, context, reader, head).await
         }
         Err(refusal) => {
             span.end(&worker.common.spans, &story.request);
@@ -43,7 +44,7 @@
     }
 }
 
-/// Gets the head of the answer from some endpoint.
+/// Submits the request to one endpoint after another until one returns the head of an answer.
 async fn open(
     worker: &Rc<Worker>,
     request: &intake::Request,
@@ -51,20 +52,20 @@
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     check_dependencies(worker, request)?;
     let mut tried: HashSet<placement::Target> = HashSet::new();
-    let mut last: Option<error::Refusal> = None;
-    for _ in 0..MAX_TRIES {
-        if last.is_some() && !worker.budget.borrow_mut().spend() {
+    let mut last_refusal: Option<error::Refusal> = None;
+    for _ in 0..MAX_ATTEMPTS {
+        if last_refusal.is_some() && !worker.retry_budget.borrow_mut().spend() {
             metrics::counter!("briarwinch_retries_denied_total").increment(1);
             break;
         }
         let mut attempt = explain::Attempt::default();
-        let Some(target) = choose(worker, request, &tried, &mut attempt).await else {
+        let Some(target) = select_endpoint(worker, request, &tried, &mut attempt).await else {
             attempt.outcome = "no endpoint answered".into();
             story.attempts.push(attempt);
             break;
         };
         tried.insert(target);
-        let outcome = try_one(worker, request, target).await;
+        let outcome = attempt_at(worker, request, target).await;
         match outcome {
             Ok(opened) => {
                 attempt.outcome = "answered".into();
@@ -77,20 +78,20 @@
                 if refusal.kind == error::Kind::LinkLost {
                     worker.silent.borrow_mut().missed(target, worker.now_ms());
                 }
-                let again = refusal.may_try_other(request.repeatable);
-                last = Some(keep_unknown(last, refusal));
-                if !again || worker.now_ms() >= request.deadline_at_ms {
+                let may_retry = refusal.may_try_other(request.repeatable);
+                last_refusal = Some(merge_refusals(last_refusal, refusal));
+                if !may_retry || worker.now_ms() >= request.deadline_at_ms {
                     break;
                 }
                 metrics::counter!("briarwinch_retries_total").increment(1);
             }
         }
     }
-    Err(last.unwrap_or_else(|| error::Refusal::not_run(error::Kind::NoEndpoint)))
+    Err(last_refusal.unwrap_or_else(|| error::Refusal::not_run(error::Kind::NoEndpoint)))
 }
 
-/// A later refusal of a retried request, which says "not run" only if no try may have run.
-fn keep_unknown(before: Option<error::Refusal>, mut refusal: error::Refusal) -> error::Refusal {
+/// Returns the later refusal of a retried request. It says "not run" only if no attempt may have run.
+fn merge_refusals(before: Option<error::Refusal>, mut refusal: error::Refusal) -> error::Refusal {
     if before.is_some_and(|before| before.ran == error::Ran::Unknown) {
         refusal.ran = error::Ran::Unknown;
     }
@@ -98,15 +99,15 @@
 }
 
 fn check_dependencies(worker: &Worker, request: &intake::Request) -> Result<(), error::Refusal> {
-    let Some(in_force) = &request.snapshot.config else {
+    let Some(active_config) = &request.snapshot.config else {
         return Ok(());
     };
-    let Some(service) = in_force.model.service(&request.service) else {
+    let Some(service) = active_config.model.service(&request.service) else {
         return Ok(());
     };
     let region = &worker.common.settings.daemon.region;
-    for needed in &in_force.model.service_at(service).needs {
-        let name = &in_force.model.service_at(*needed).name;
+    for needed in &active_config.model.service_at(service).needs {
+        let name = &active_config.model.service_at(*needed).name;
         if request.snapshot.places(region, name).is_empty() {
             return Err(error::Refusal::not_run(error::Kind::DependencyDown)
                 .detail(format!("(`{name}`)"))
@@ -116,16 +117,16 @@
     Ok(())
 }
 
-async fn try_one(
+async fn attempt_at(
     worker: &Rc<Worker>,
     request: &intake::Request,
     target: placement::Target,
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     let mut reader = Reader::submit(worker, target, submit(worker, request, target)).await?;
     match reader.next().await {
-        Some(Ok(Next::Top(head))) => Ok((reader, head)),
+        Some(Ok(Next::Head(head))) => Ok((reader, head)),
         Some(Err(refusal)) => Err(refusal),
-        Some(Ok(Next::Piece(_) | Next::End(_))) | None => {
+        Some(Ok(Next::Chunk(_) | Next::End(_))) | None => {
             Err(error::Refusal::unknown(error::Kind::Internal).detail("The answer has no head."))
         }
     }
@@ -133,7 +134,7 @@
 
 fn submit(worker: &Worker, request: &intake::Request, target: placement::Target) -> wire::Submit {
     let now_ms = worker.now_ms();
-    let left = |at_ms: u64| u32::try_from(at_ms.saturating_sub(now_ms)).unwrap_or(u32::MAX);
+    let remaining_ms = |at_ms: u64| u32::try_from(at_ms.saturating_sub(now_ms)).unwrap_or(u32::MAX);
     wire::Submit {
         stream: wire::StreamId { slot: 0, generation: 0 },
         endpoint: target.endpoint,
@@ -143,8 +144,8 @@
         account: request.account.clone(),
         key: request.key.clone(),
         key_revision: request.key_revision,
-        deadline_ms: left(request.deadline_at_ms),
-        target_ms: left(request.target_at_ms),
+        deadline_ms: remaining_ms(request.deadline_at_ms),
+        target_ms: remaining_ms(request.target_at_ms),
         prompt_tokens: request.prompt_tokens,
         max_tokens: request.max_tokens,
         prefix: request.prefix,
@@ -159,8 +160,8 @@
     }
 }
 
-/// Asks a few endpoints and takes the earliest offer.
-async fn choose(
+/// Asks candidate endpoints and selects the best offer.
+async fn select_endpoint(
     worker: &Worker,
     request: &intake::Request,
     tried: &HashSet<placement::Target>,
@@ -182,21 +183,21 @@
     };
     let mut best = None;
     let mut limit_ms = match request.idempotency {
-        Some(_) => worker.common.settings.ask_ms.max(HOLDER_MS),
+        Some(_) => worker.common.settings.ask_ms.max(HOLDER_ASK_MS),
         None => worker.common.settings.ask_ms,
     };
     for round in 0..ASK_ROUNDS {
-        // Asks are lost and sides stall for a moment. Nothing has been sent yet, so asking again,
-        // with more patience and the silent ones too, costs only time; a refusal would cost the
-        // caller its answer.
-        let asked = pick(worker, request, places, tried, round == 0);
+        // Asks can be lost, and sides can stall briefly. The request has not been submitted yet, so
+        // another round with a longer limit, which includes endpoints in backoff, costs only time,
+        // whereas a refusal would fail the caller's request.
+        let asked = candidates(worker, request, places, tried, round == 0);
         let offers = worker.ask(&asked, &ask, limit_ms).await;
-        attempt.asked.extend(asked.iter().map(|place| asked_line(place, &offers)));
-        best = choose_best(&asked, &offers, &daemon.zone);
+        attempt.asked.extend(asked.iter().map(|place| describe_ask(place, &offers)));
+        best = best_offer(&asked, &offers, &daemon.zone);
         if best.is_some() || asked.is_empty() && round > 0 {
             break;
         }
-        limit_ms *= ASK_PATIENCE;
+        limit_ms *= ASK_LIMIT_FACTOR;
     }
     span.end(&worker.common.spans, &request.id);
     let best = best?;
@@ -204,18 +205,18 @@
     Some(placement::Target::of(best))
 }
 
-fn pick<'a>(
+fn candidates<'a>(
     worker: &Worker,
     request: &intake::Request,
     places: &'a [membership::Place],
     tried: &HashSet<placement::Target>,
-    without_silent: bool,
+    skip_silent: bool,
 ) -> Vec<&'a membership::Place> {
     let now_ms = worker.now_ms();
     let silent = worker.silent.borrow();
     let avoid =
-        |target| tried.contains(&target) || (without_silent && silent.is_silent(target, now_ms));
-    // With an idempotency key the answer may be held somewhere already: all are asked.
+        |target| tried.contains(&target) || (skip_silent && silent.is_silent(target, now_ms));
+    // With an idempotency key any endpoint may already hold the answer, so all are asked.
     let width = match request.idempotency {
         Some(_) => MAX_HOLDERS_ASKED,
         None => worker.common.settings.ask_width,
@@ -224,30 +225,30 @@
     placement::pick(places, zone, request.prefix, width, avoid, &mut rand::rng())
 }
 
-fn choose_best<'a>(
+fn best_offer<'a>(
     asked: &[&'a membership::Place],
-    offers: &[asks::Answered],
+    offers: &[asks::ReceivedOffer],
     own_zone: &str,
 ) -> Option<&'a membership::Place> {
-    let cost = |answered: &asks::Answered| {
-        let place = asked.iter().find(|place| placement::Target::of(place) == answered.target)?;
-        if answered.offer.holds_answer {
+    let cost = |received: &asks::ReceivedOffer| {
+        let place = asked.iter().find(|place| placement::Target::of(place) == received.target)?;
+        if received.offer.holds_answer {
             return Some((0, *place));
         }
         let same_zone = place.zone == own_zone;
-        (!answered.offer.leaving)
-            .then(|| (1 + placement::cost_ms(&answered.offer, same_zone), *place))
+        (!received.offer.leaving)
+            .then(|| (1 + placement::cost_ms(&received.offer, same_zone), *place))
     };
     offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, place)| place)
 }
 
-fn asked_line(place: &membership::Place, offers: &[asks::Answered]) -> explain::Asked {
+fn describe_ask(place: &membership::Place, offers: &[asks::ReceivedOffer]) -> explain::Asked {
     let target = placement::Target::of(place);
-    let offer = offers.iter().find(|answered| answered.target == target);
+    let offer = offers.iter().find(|received| received.target == target);
     explain::Asked {
         endpoint: place.id.clone(),
         zone: place.zone.clone(),
-        first_token_ms: offer.map(|answered| answered.offer.first_token_ms),
-        knows_prefix: offer.is_some_and(|answered| answered.offer.knows_prefix),
+        first_token_ms: offer.map(|received| received.offer.first_token_ms),
+        knows_prefix: offer.is_some_and(|received| received.offer.knows_prefix),
     }
 }
