--- a/src/entry/respond.rs
+++ b/src/entry/respond.rs
@@ -1,4 +1,4 @@
-//! From a request's outcome to the HTTP answer: streamed, whole, or refused.
+//! Builds the HTTP response of a request: a streamed answer, a buffered answer or a refusal.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -13,41 +13,42 @@
 use super::{Worker, intake};
 use crate::{error, explain, trace, wire};
 
-/// Longest answer that is gathered before it is sent.
-const MAX_WHOLE_BYTES: usize = 8 << 20;
-/// Headers of an answer that name the request and say whether it ran.
+/// Maximum length of an answer that is buffered before it is sent.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+/// Response headers with the request's identifier, whether it ran, and whether the answer is from an
+/// earlier run.
 const REQUEST_HEADER: &str = "briarwinch-request";
 const RAN_HEADER: &str = "briarwinch-ran";
 const REPLAYED_HEADER: &str = "briarwinch-replayed";
 
-/// What goes along with an answer until its end.
+/// The state of a request that is kept until its answer has ended.
 #[derive(Debug)]
-pub(super) struct Parts {
+pub(super) struct AnswerContext {
     pub(super) request: intake::Request,
     pub(super) active: intake::Active,
     pub(super) story: explain::Story,
     pub(super) span: trace::Span,
 }
 
-/// Books a request's end.
-struct Closing {
+/// Records metrics, usage and the explanation of a request once, when its answer ends.
+struct Completion {
     worker: Rc<Worker>,
-    parts: Option<Parts>,
+    context: Option<AnswerContext>,
 }
 
-impl Closing {
-    fn first_token(&mut self) {
+impl Completion {
+    fn record_first_token(&mut self) {
         let now_ms = self.worker.now_ms();
-        let Some(parts) = self.parts.as_mut() else {
+        let Some(context) = self.context.as_mut() else {
             return;
         };
-        if parts.story.first_token_ms.is_some() {
+        if context.story.first_token_ms.is_some() {
             return;
         }
-        let after_ms = now_ms - parts.request.arrived_ms;
-        parts.story.first_token_ms = Some(after_ms);
-        let class = parts.request.class.to_string();
-        let in_time = if now_ms <= parts.request.target_at_ms { "yes" } else { "no" };
+        let after_ms = now_ms - context.request.arrived_ms;
+        context.story.first_token_ms = Some(after_ms);
+        let class = context.request.class.to_string();
+        let in_time = if now_ms <= context.request.target_at_ms { "yes" } else { "no" };
         metrics::counter!("briarwinch_first_tokens_total", "class" => class.clone(), "in_time" => in_time)
             .increment(1);
         metrics::histogram!("briarwinch_first_token_seconds", "class" => class)
@@ -55,13 +56,13 @@
     }
 
     fn end(&mut self, status: u16, outcome: Result<wire::End, &error::Refusal>, bytes: u64) {
-        let Some(mut parts) = self.parts.take() else {
+        let Some(mut context) = self.context.take() else {
             return;
         };
-        let story = &mut parts.story;
+        let story = &mut context.story;
         story.status = status;
         story.body_bytes = bytes;
-        story.total_ms = self.worker.now_ms() - parts.request.arrived_ms;
+        story.total_ms = self.worker.now_ms() - context.request.arrived_ms;
         match outcome {
             Ok(end) => {
                 story.outcome = "whole".into();
@@ -74,21 +75,21 @@
             }
         }
         count_outcome(&self.worker, story);
-        if let Some(rate_per_s) = parts.request.tokens_per_s {
-            let tokens = u64::from(parts.request.prompt_tokens) + u64::from(parts.story.tokens);
+        if let Some(rate_per_s) = context.request.tokens_per_s {
+            let tokens = u64::from(context.request.prompt_tokens) + u64::from(context.story.tokens);
             let now_ms = self.worker.now_ms();
-            let mut budgets = self.worker.budgets.borrow_mut();
-            budgets.charge(&parts.request.account, rate_per_s, tokens, now_ms);
+            let mut token_budgets = self.worker.token_budgets.borrow_mut();
+            token_budgets.charge(&context.request.account, rate_per_s, tokens, now_ms);
         }
-        parts.span.end(&self.worker.common.spans, &parts.request.id);
-        self.worker.common.ring.push(parts.story);
-        drop(parts.active);
+        context.span.end(&self.worker.common.spans, &context.request.id);
+        self.worker.common.ring.push(context.story);
+        drop(context.active);
     }
 }
 
-impl Drop for Closing {
+impl Drop for Completion {
     fn drop(&mut self) {
-        // Dropped before its end: the caller hung up.
+        // The completion was not recorded yet, so the caller has disconnected.
         let refusal = error::Refusal::unknown(error::Kind::Superseded);
         self.end(0, Err(&refusal), 0);
     }
@@ -105,24 +106,24 @@
         "outcome" => story.outcome.as_str(), "total_ms" => story.total_ms);
 }
 
-/// Answers with what the endpoint answers.
+/// Responds with the endpoint's answer.
 pub(super) async fn answer(
     worker: &Rc<Worker>,
-    parts: Parts,
+    context: AnswerContext,
     reader: Reader,
     head: wire::Head,
 ) -> HttpResponse {
-    let id = parts.request.id.clone();
-    let closing = Closing { worker: Rc::clone(worker), parts: Some(parts) };
+    let id = context.request.id.clone();
+    let completion = Completion { worker: Rc::clone(worker), context: Some(context) };
     let is_stream = head
         .headers
         .iter()
         .any(|field| field.name == "content-type" && field.value.starts_with("text/event-stream"));
     if is_stream {
-        let body = StreamedBody { closing, reader, status: head.status };
+        let body = StreamedBody { completion, reader, status: head.status };
         return response(&head, &id).streaming(body);
     }
-    whole(closing, reader, &head, &id).await
+    buffered(completion, reader, &head, &id).await
 }
 
 fn response(head: &wire::Head, id: &str) -> ntex::web::HttpResponseBuilder {
@@ -138,9 +139,9 @@
     response
 }
 
-/// Gathers the answer and sends it when it is whole.
-async fn whole(
-    mut closing: Closing,
+/// Buffers the answer and sends it when it is complete.
+async fn buffered(
+    mut completion: Completion,
     mut reader: Reader,
     head: &wire::Head,
     id: &str,
@@ -148,31 +149,32 @@
     let mut body = Vec::new();
     loop {
         let refusal = match reader.next().await {
-            Some(Ok(Next::Piece(piece))) if body.len() + piece.len() <= MAX_WHOLE_BYTES => {
-                closing.first_token();
-                body.extend_from_slice(&piece);
+            Some(Ok(Next::Chunk(chunk))) if body.len() + chunk.len() <= MAX_BUFFERED_BYTES => {
+                completion.record_first_token();
+                body.extend_from_slice(&chunk);
                 continue;
             }
-            Some(Ok(Next::Piece(_))) => error::Refusal::unknown(error::Kind::EndpointFailed)
+            Some(Ok(Next::Chunk(_))) => error::Refusal::unknown(error::Kind::EndpointFailed)
                 .detail("The answer is too long."),
-            Some(Ok(Next::Top(_))) => continue,
+            Some(Ok(Next::Head(_))) => continue,
             Some(Ok(Next::End(end))) => {
-                closing.first_token();
-                closing.end(head.status, Ok(end), reader.received);
+                completion.record_first_token();
+                completion.end(head.status, Ok(end), reader.received);
                 return response(head, id).body(body);
             }
             Some(Err(refusal)) => refusal,
             None => error::Refusal::unknown(error::Kind::Internal),
         };
         let status = refusal.kind.answer().status;
-        closing.end(status, Err(&refusal), reader.received);
-        return bare_refusal(&refusal, id);
+        completion.end(status, Err(&refusal), reader.received);
+        return refusal_response(&refusal, id);
     }
 }
 
-/// A streamed answer. It ends as the endpoint ended it, or with an error event that says why not.
+/// The body of a streamed answer. It ends as the endpoint ended it, or with an error event that gives the
+/// reason.
 struct StreamedBody {
-    closing: Closing,
+    completion: Completion,
     reader: Reader,
     status: u16,
 }
@@ -188,17 +190,17 @@
                 Poll::Ready(next) => next,
             };
             match next {
-                Some(Ok(Next::Piece(piece))) => {
-                    this.closing.first_token();
-                    return Poll::Ready(Some(Ok(Bytes::from(piece))));
+                Some(Ok(Next::Chunk(chunk))) => {
+                    this.completion.record_first_token();
+                    return Poll::Ready(Some(Ok(Bytes::from(chunk))));
                 }
-                Some(Ok(Next::Top(_))) => {}
+                Some(Ok(Next::Head(_))) => {}
                 Some(Ok(Next::End(end))) => {
-                    this.closing.end(this.status, Ok(end), this.reader.received);
+                    this.completion.end(this.status, Ok(end), this.reader.received);
                     return Poll::Ready(None);
                 }
                 Some(Err(refusal)) => {
-                    this.closing.end(this.status, Err(&refusal), this.reader.received);
+                    this.completion.end(this.status, Err(&refusal), this.reader.received);
                     let event = format!("event: error\ndata: {}\n\n", refusal.body());
                     return Poll::Ready(Some(Ok(Bytes::from(event))));
                 }
@@ -208,7 +210,7 @@
     }
 }
 
-/// Refuses a request that has no answer yet, and books its end.
+/// Refuses a request that has no answer yet, and records its end.
 pub(super) fn refuse(
     worker: &Worker,
     refusal: &error::Refusal,
@@ -219,14 +221,14 @@
     story.outcome = refusal.kind.answer().code.into();
     story.ran = refusal.ran.to_string().into();
     story.total_ms = worker.now_ms() - begin_ms;
-    let response = bare_refusal(refusal, &story.request);
+    let response = refusal_response(refusal, &story.request);
     count_outcome(worker, &story);
     worker.common.ring.push(story);
     response
 }
 
-/// A refusal as an HTTP answer.
-pub(super) fn bare_refusal(refusal: &error::Refusal, id: &str) -> HttpResponse {
+/// Builds the HTTP response of a refusal.
+pub(super) fn refusal_response(refusal: &error::Refusal, id: &str) -> HttpResponse {
     let answer = refusal.kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = HttpResponse::build(status);
