--- a/src/side/asks.rs
+++ b/src/side/asks.rs
@@ -1,6 +1,6 @@
-//! Answers asks: when would the first token of such a request start here?
+//! Answers asks with the expected time to first token of a request and the load of the endpoint.
 //!
-//! A side that cannot answer does not; its silence tells the entry enough.
+//! A side that cannot make an offer sends none; the entry then treats the ask as unanswered.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use super::Side;
 use crate::{metric, seal, wire};
 
-/// Answers asks for as long as the process lives.
+/// Answers asks for the lifetime of the process.
 pub(super) async fn serve(side: Rc<Side>, socket: UdpSocket) {
     let mut buffer = vec![0; seal::MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -19,8 +19,8 @@
             continue;
         };
         match seal::open_datagram(&side.secret, &buffer[..count]) {
-            Ok(wire::Datagram::Ask(ask)) => side.answer(&socket, from, side.offer(&ask)),
-            Ok(wire::Datagram::LoadAsk(ask)) => side.answer(&socket, from, side.load(&ask)),
+            Ok(wire::Datagram::Ask(ask)) => side.reply(&socket, from, side.offer(&ask)),
+            Ok(wire::Datagram::LoadAsk(ask)) => side.reply(&socket, from, side.load_offer(&ask)),
             Ok(_) => metric::count_reject(seal::Reject::Message),
             Err(reject) => metric::count_reject(reject),
         }
@@ -28,16 +28,17 @@
 }
 
 impl Side {
-    fn answer(&self, socket: &UdpSocket, to: SocketAddr, offer: Option<wire::Offer>) {
+    fn reply(&self, socket: &UdpSocket, to: SocketAddr, offer: Option<wire::Offer>) {
         let Some(offer) = offer else { return };
         let sealed = seal::datagram(&self.secret, &wire::Datagram::Offer(offer));
         if let Ok(bytes) = sealed {
-            // A lost offer is one offer fewer to choose from.
+            // A lost offer only leaves the entry with fewer offers to select from.
             let _ = socket.try_send_to(&bytes, to);
         }
     }
 
-    fn load(&self, ask: &wire::LoadAsk) -> Option<wire::Offer> {
+    /// Reports the endpoint's load, and applies the order to drain that the ask may carry.
+    fn load_offer(&self, ask: &wire::LoadAsk) -> Option<wire::Offer> {
         let endpoint = self.endpoint(ask.endpoint)?;
         if endpoint.service != ask.service {
             return None;
@@ -60,10 +61,10 @@
     fn offer(&self, ask: &wire::Ask) -> Option<wire::Offer> {
         let endpoint = self.endpoint(ask.endpoint)?;
         if endpoint.service != ask.service {
-            // Another endpoint took this address; the asker's list is old.
+            // Another endpoint now uses this address, so the sender's list of endpoints is outdated.
             return None;
         }
-        self.follow_config(endpoint);
+        self.apply_config(endpoint);
         let snapshot = self.hub.snapshot.load();
         let config = &snapshot.config.as_ref()?.model;
         let class = config.class(&ask.class)?;
@@ -80,14 +81,14 @@
                 self.now_ms(),
             ),
             leaving: self.is_leaving(endpoint),
-            knows_prefix: endpoint.prefixes.borrow().knows(ask.prefix),
+            knows_prefix: endpoint.prefixes.borrow().contains(ask.prefix),
             holds_answer,
             running: endpoint.running.get() as u32,
             waiting: endpoint.queue.borrow().len() as u32,
         })
     }
 
-    /// Whether an endpoint takes no new work.
+    /// Returns whether an endpoint accepts no new requests.
     pub(super) fn is_leaving(&self, endpoint: &super::endpoint::Endpoint) -> bool {
         let snapshot = self.hub.snapshot.load();
         self.hub.draining.load(Ordering::Acquire)
