--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its queue, how many requests run there, how fast it works, what it served lately.
+//! An endpoint of this side: its queue, running requests, latency estimates and recent prompt prefixes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -8,60 +8,62 @@
 
 use crate::{config, lease, orders, pace, queue, settings, spread};
 
-/// Prompt heads remembered as served lately.
-const PREFIXES: usize = 1024;
+/// Number of recent requests whose prompt prefix is remembered.
+const MAX_RECENT_PREFIXES: usize = 1024;
 
-/// Prompt heads that an endpoint served lately and may still have cached.
+/// Prompt prefixes that an endpoint has served recently and may still have in its prefix cache.
 #[derive(Debug, Default)]
-pub struct Prefixes {
-    seen: HashMap<u64, u32>,
+pub struct RecentPrefixes {
+    /// Number of occurrences in `order`, by prefix.
+    counts: HashMap<u64, u32>,
     order: VecDeque<u64>,
 }
 
-impl Prefixes {
-    pub fn note(&mut self, prefix: u64) {
-        *self.seen.entry(prefix).or_default() += 1;
+impl RecentPrefixes {
+    pub fn record(&mut self, prefix: u64) {
+        *self.counts.entry(prefix).or_default() += 1;
         self.order.push_back(prefix);
-        if self.order.len() > PREFIXES {
+        if self.order.len() > MAX_RECENT_PREFIXES {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
-            if let Some(count) = self.seen.get_mut(&oldest) {
+            if let Some(count) = self.counts.get_mut(&oldest) {
                 *count -= 1;
                 if *count == 0 {
-                    self.seen.remove(&oldest);
+                    self.counts.remove(&oldest);
                 }
             }
         }
     }
 
     #[must_use]
-    pub fn knows(&self, prefix: u64) -> bool {
-        self.seen.contains_key(&prefix)
+    pub fn contains(&self, prefix: u64) -> bool {
+        self.counts.contains_key(&prefix)
     }
 }
 
-/// An endpoint and what waits and runs there.
+/// An endpoint with its queued and running requests.
 #[derive(Debug)]
 pub struct Endpoint {
     pub id: CompactString,
     pub service: CompactString,
     pub url: String,
     pub queue: RefCell<queue::Queue>,
-    /// Configuration by which the queue was made.
-    version: Cell<u64>,
+    /// Version of the configuration that the queue was created from.
+    config_version: Cell<u64>,
     slots: Cell<usize>,
     pub running: Cell<usize>,
     pub pace: RefCell<pace::Pace>,
-    pub prefixes: RefCell<Prefixes>,
+    pub prefixes: RefCell<RecentPrefixes>,
     fence: RefCell<orders::Fence>,
-    /// Until when it takes no new work, by order; an order that is not repeated runs out, so that
-    /// a holder that dies between drain and stop does not leave the endpoint idle for ever.
-    drains_until_ms: Cell<u64>,
+    /// End of an ordered drain, until when the endpoint accepts no new requests. A drain order expires
+    /// unless it is repeated, so that a duty holder that dies between drain and stop does not leave
+    /// the endpoint idle for ever.
+    draining_until_ms: Cell<u64>,
 }
 
-/// How long an order to drain lasts.
-const DRAIN_MS: u64 = 30_000;
+/// Time after which a drain order expires.
+const DRAIN_ORDER_MS: u64 = 30_000;
 
 impl Endpoint {
     #[must_use]
@@ -71,26 +73,26 @@
             service: settings.service.clone(),
             url: settings.url.trim_end_matches('/').to_owned(),
             queue: RefCell::new(queue::Queue::new(0, Vec::new(), 0)),
-            version: Cell::new(0),
+            config_version: Cell::new(0),
             slots: Cell::new(1),
             running: Cell::new(0),
             pace: RefCell::default(),
             prefixes: RefCell::default(),
             fence: RefCell::default(),
-            drains_until_ms: Cell::new(0),
+            draining_until_ms: Cell::new(0),
         }
     }
 
-    /// Takes an order to drain, unless a later holder has ordered here.
+    /// Applies a drain order, unless an order with a later epoch has been received.
     pub fn drain(&self, epoch: lease::Epoch, now_ms: u64) {
         if self.fence.borrow_mut().admit(epoch) {
-            self.drains_until_ms.set(now_ms + DRAIN_MS);
+            self.draining_until_ms.set(now_ms + DRAIN_ORDER_MS);
         }
     }
 
     #[must_use]
     pub fn is_draining(&self, now_ms: u64) -> bool {
-        now_ms < self.drains_until_ms.get()
+        now_ms < self.draining_until_ms.get()
     }
 
     #[must_use]
@@ -99,31 +101,32 @@
     }
 
     #[must_use]
-    pub fn version(&self) -> u64 {
-        self.version.get()
+    pub fn config_version(&self) -> u64 {
+        self.config_version.get()
     }
 
-    /// Makes the queue anew when the configuration has changed. Gives the jobs that have to be
-    /// placed again, with the model that is now in force.
-    pub fn follow(
+    /// Replaces the queue when the configuration has changed. Returns the jobs that have to be queued
+    /// again and the configuration that is now active.
+    pub fn apply_config(
         &self,
         snapshot: &spread::Snapshot,
     ) -> Option<(Vec<queue::Job>, Arc<config::Config>)> {
-        let in_force = snapshot.config.as_ref()?;
-        if in_force.version == self.version.get() {
+        let active_config = snapshot.config.as_ref()?;
+        if active_config.version == self.config_version.get() {
             return None;
         }
-        self.version.set(in_force.version);
-        let service = in_force.model.service(&self.service);
-        let text = service.map(|key| &in_force.model.service_at(key).text);
+        self.config_version.set(active_config.version);
+        let service = active_config.model.service(&self.service);
+        let text = service.map(|key| &active_config.model.service_at(key).text);
         self.slots.set(text.map_or(1, |text| text.slots as usize));
-        let places = text.map_or(0, |text| text.max_queue as usize);
-        let rules = queue::ClassRule::of(&in_force.model);
-        let mut old = self.queue.replace(queue::Queue::new(in_force.version, rules, places));
-        Some((old.drain(), Arc::clone(&in_force.model)))
+        let max_queue = text.map_or(0, |text| text.max_queue as usize);
+        let rules = queue::ClassRule::of(&active_config.model);
+        let mut old =
+            self.queue.replace(queue::Queue::new(active_config.version, rules, max_queue));
+        Some((old.drain(), Arc::clone(&active_config.model)))
     }
 
-    /// Expected time to the first token for a request of this class and account that comes now.
+    /// Returns the expected time to first token of a request of this class and account that arrives now.
     #[must_use]
     pub fn first_token_ms(
         &self,
