--- a/src/side/entries.rs
+++ b/src/side/entries.rs
@@ -1,4 +1,4 @@
-//! Links from entries: takes submits, cancels and credit, and notices when a link is lost.
+//! Links from entries: receives requests, cancellations, revocations and credit, and detects lost links.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,14 +9,15 @@
 use super::Side;
 use crate::{link, wire};
 
-/// Accepts links for as long as the process lives.
+/// Accepts links for the lifetime of the process.
 pub(super) async fn serve(side: Rc<Side>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 task::spawn_local(serve_link(Rc::clone(&side), stream));
             }
-            // Out of file descriptors, say: without a pause this loop would take the whole core.
+            // When file descriptors run out, accept fails at once. Without the pause this loop would use a
+            // whole core.
             Err(_) => time::sleep(Duration::from_millis(50)).await,
         }
     }
