--- a/src/side/mod.rs
+++ b/src/side/mod.rs
@@ -1,8 +1,8 @@
-//! The process beside an endpoint instance: the endpoints' only way in.
+//! The side: a process that runs beside an instance and is the only access to its endpoints.
 //!
-//! Entries ask over UDP and submit over TCP; requests wait in the endpoint's queue, run at the
-//! endpoint by HTTP, and their answers go back piece by piece. One thread carries all traffic, so
-//! its state needs no locks; the control thread hands it snapshots.
+//! Entries send asks over UDP and submit requests over TCP. Requests wait in the endpoint's queue, run
+//! at the endpoint over HTTP, and their answers are streamed back to the entry. One thread handles all
+//! traffic, so its state needs no locks; the control thread publishes snapshots to it through the hub.
 
 mod asks;
 mod endpoint;
@@ -30,9 +30,9 @@
     settings, trace, wire,
 };
 
-/// Connections to an endpoint at most; above any number of slots.
+/// Maximum number of connections to an endpoint, which is above any number of slots.
 const MAX_CONNECTIONS: usize = 4096;
-/// How often a drain looks whether all is done.
+/// Interval at which a drain checks whether all answers are delivered.
 const DRAIN_POLL_MS: u64 = 20;
 
 slotmap::new_key_type! {
@@ -50,22 +50,22 @@
     boot: u64,
     spans: trace::Sink,
     http: client::Client,
-    /// For calls that may not be repeated: a new connection for each, see `run::call`.
-    http_once: client::Client,
+    /// For calls that may not be repeated. Each call uses a new connection, see `run::call`.
+    http_no_reuse: client::Client,
     platform: platform::Platform,
     endpoints: Vec<endpoint::Endpoint>,
     runs: RefCell<SlotMap<RunKey, Rc<run::Run>>>,
     by_request: RefCell<HashMap<CompactString, RunKey>>,
     by_idempotency: RefCell<HashMap<wire::IdempotencyDigest, RunKey>>,
     keys_revision: Cell<u64>,
-    /// Keys that an entry knew to be withdrawn before this side did.
+    /// Keys that an entry has reported as withdrawn. The key table of this side may still lack the change.
     revoked: RefCell<HashSet<CompactString>>,
 }
 
-/// Runs a side until it is told to stop and has drained.
+/// Runs a side until it receives a stop signal and has drained.
 ///
 /// # Errors
-/// When an address cannot be bound or a client cannot be made.
+/// Returns an error when an address cannot be bound or an HTTP client cannot be created.
 pub async fn run(mut settings: settings::Side, log: slog::Logger) -> anyhow::Result<()> {
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
@@ -115,7 +115,7 @@
         log,
         boot,
         http: http_client().await?,
-        http_once: http_client().await?,
+        http_no_reuse: http_client().await?,
         endpoints,
         runs: RefCell::default(),
         by_request: RefCell::default(),
@@ -133,7 +133,7 @@
         .response_timeout(Millis::ZERO)
         .build(ntex::SharedCfg::default())
         .await
-        .map_err(|error| anyhow::anyhow!("cannot make an HTTP client: {error:?}"))
+        .map_err(|error| anyhow::anyhow!("cannot create an HTTP client: {error:?}"))
 }
 
 impl Side {
@@ -153,7 +153,7 @@
         claims::Holder { daemon: self.settings.daemon.id.clone(), boot: self.boot }
     }
 
-    /// Whether a claim's holder may still be running its call.
+    /// Returns whether the holder of a claim may still be running its call.
     fn is_alive(&self, holder: &claims::Holder) -> bool {
         if holder.daemon == self.settings.daemon.id {
             return holder.boot == self.boot;
@@ -166,20 +166,20 @@
         })
     }
 
-    /// Takes no new work, lets all that was accepted end, and ends what is left after the limit.
+    /// Refuses new requests, waits for the accepted ones, and stops those that are left after the limit.
     async fn drain(self: &Rc<Self>) {
         self.hub.draining.store(true, Ordering::Release);
         let limit_ms = self.settings.daemon.drain_ms;
         slog::info!(self.log, "draining"; "runs" => self.runs.borrow().len(), "limit_ms" => limit_ms);
-        let end_ms = self.now_ms() + limit_ms;
+        let deadline_ms = self.now_ms() + limit_ms;
         while !self.all_delivered() {
-            if self.now_ms() >= end_ms {
-                self.end_all();
+            if self.now_ms() >= deadline_ms {
+                self.stop_all();
                 break;
             }
             time::sleep(Duration::from_millis(DRAIN_POLL_MS)).await;
         }
-        // The last frames are in the links' buffers; give the kernel the time to send them.
+        // The last frames may still be in the links' buffers. The pause gives the kernel time to send them.
         time::sleep(Duration::from_millis(10 * DRAIN_POLL_MS)).await;
         slog::info!(self.log, "drained"; "left" => self.runs.borrow().len());
     }
@@ -188,7 +188,7 @@
         self.runs.borrow().values().all(|run| run.is_delivered())
     }
 
-    fn end_all(self: &Rc<Self>) {
+    fn stop_all(self: &Rc<Self>) {
         let runs: Vec<Rc<run::Run>> = self.runs.borrow().values().cloned().collect();
         for run in runs {
             self.stop(&run, error::Kind::Draining);
