--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -1,7 +1,7 @@
-//! Runs: a request from its submit to the end of its answer.
+//! Runs: a run is a request at this side from its submission to the end of its answer.
 //!
-//! A run belongs to the side, not to the link it came by. When the link is lost the run goes on for
-//! a while, and whoever submits the same request again reads on where the answer stopped.
+//! A run belongs to the side, not to the link that submitted it. After a lost link the run continues for
+//! the linger time, and an entry that submits the same request again resumes reading its answer.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,14 +15,15 @@
 
 mod call;
 
-/// Body bytes a reader may be behind before the endpoint is no longer read.
-const MAX_BEHIND_BYTES: u64 = 1 << 20;
-/// Body bytes kept behind a reader who has no idempotency key: above the credit of a stream.
-const KEPT_BEHIND_BYTES: u64 = 48 << 10;
-/// Longest time a run of this side lasts, whatever its caller said.
+/// Number of unread body bytes above which the side stops reading from the endpoint.
+const MAX_UNREAD_BYTES: u64 = 1 << 20;
+/// Number of sent body bytes kept for a reader without an idempotency key. It is above the credit of a
+/// stream, so that all bytes that a lost link may have dropped can be sent again.
+const RESEND_BYTES: u64 = 48 << 10;
+/// Upper limit of a run's deadline, even when the caller's deadline is longer.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Where a run is.
+/// The state of a run.
 #[derive(Debug)]
 pub(super) enum Phase {
     Queued(queue::Ticket),
@@ -30,7 +31,7 @@
     Ended,
 }
 
-/// Who reads a run's answer.
+/// The stream of an entry that reads a run's answer.
 #[derive(Debug)]
 pub(super) struct Subscriber {
     pub(super) outbox: link::Outbox,
@@ -38,12 +39,12 @@
 }
 
 impl Subscriber {
-    pub(super) fn is(&self, stream: wire::StreamId, outbox: &link::Outbox) -> bool {
+    pub(super) fn is_stream(&self, stream: wire::StreamId, outbox: &link::Outbox) -> bool {
         self.reader.stream == stream && self.outbox.is_same(outbox)
     }
 }
 
-/// One request held by this side.
+/// A request held by this side.
 #[derive(Debug)]
 pub struct Run {
     pub(super) key: RunKey,
@@ -51,31 +52,31 @@
     pub(super) phase: RefCell<Phase>,
     pub(super) answer: RefCell<answer::Answer>,
     pub(super) subscriber: RefCell<Option<Subscriber>>,
-    /// Wakes the run's task: it was stopped, or its reader has caught up.
+    /// Wakes the run's task when the run was stopped or its reader may have caught up.
     pub(super) wake: Notify,
     stopped: RefCell<Option<error::Refusal>>,
     arrived_ms: u64,
     pub(super) deadline_ms: u64,
-    /// Since when nobody reads it.
-    pub(super) alone_since_ms: Cell<Option<u64>>,
-    /// Bytes of the call have left for the endpoint.
+    /// When the run lost its reader or ended.
+    pub(super) detached_since_ms: Cell<Option<u64>>,
+    /// Whether bytes of the call may have reached the endpoint.
     pub(super) sent: Cell<bool>,
     queue_span: RefCell<Option<trace::Span>>,
 }
 
 impl Run {
-    /// Nothing is left to be sent to its caller.
+    /// Returns whether the run has ended and its reader, if any, has received the whole answer.
     pub(super) fn is_delivered(&self) -> bool {
         let ended = matches!(*self.phase.borrow(), Phase::Ended);
-        let read = self.subscriber.borrow().as_ref().is_none_or(|s| s.reader.is_done());
-        ended && read
+        let is_read = self.subscriber.borrow().as_ref().is_none_or(|s| s.reader.is_done());
+        ended && is_read
     }
 
     fn account(&self) -> &CompactString {
         &self.submit.account
     }
 
-    /// Sends the reader all that is there and its credit allows.
+    /// Sends the reader the available part of the answer, up to its credit.
     pub(super) fn flush(&self) {
         let mut subscriber = self.subscriber.borrow_mut();
         let Some(subscriber) = subscriber.as_mut() else {
@@ -89,21 +90,21 @@
         }
         drop(answer);
         if self.submit.idempotency.is_none() {
-            // Nobody can come back for it but the entry that reads it, and that one only for what
-            // a lost link swallowed, which its credit bounds.
-            let keep_from = subscriber.reader.offset.saturating_sub(KEPT_BEHIND_BYTES);
+            // Without an idempotency key only the entry that reads the answer can resume it, and only
+            // from the bytes that a lost link has dropped, whose number is bounded by its credit.
+            let keep_from = subscriber.reader.offset.saturating_sub(RESEND_BYTES);
             self.answer.borrow_mut().let_go(keep_from);
         }
     }
 
-    /// The reader is so far behind that the endpoint should not be read on.
+    /// Returns whether the reader is too far behind to read more from the endpoint.
     fn is_behind(&self) -> bool {
         let subscriber = self.subscriber.borrow();
         let Some(subscriber) = subscriber.as_ref() else {
             return false;
         };
-        let ahead = self.answer.borrow().length().saturating_sub(subscriber.reader.offset);
-        ahead > MAX_BEHIND_BYTES
+        let unread = self.answer.borrow().length().saturating_sub(subscriber.reader.offset);
+        unread > MAX_UNREAD_BYTES
     }
 
     pub(super) fn end(&self, ending: answer::Ending) {
@@ -124,10 +125,10 @@
 }
 
 impl Side {
-    /// Takes in a request, or takes up a run again.
+    /// Starts a run for a request, or resumes the run that exists for it.
     pub(super) fn submit(self: &Rc<Self>, submit: wire::Submit, outbox: &link::Outbox) {
-        if let Some(run) = self.known_run(&submit) {
-            return self.take_up(&run, &submit, outbox);
+        if let Some(run) = self.find_run(&submit) {
+            return self.resume(&run, &submit, outbox);
         }
         let stream = submit.stream;
         if submit.take_up {
@@ -139,7 +140,8 @@
         }
     }
 
-    fn known_run(&self, submit: &wire::Submit) -> Option<Rc<Run>> {
+    /// Finds the run of a request by request identifier or idempotency key.
+    fn find_run(&self, submit: &wire::Submit) -> Option<Rc<Run>> {
         let by_request = self.by_request.borrow().get(&submit.request).copied();
         let by_idempotency = || {
             let digest = submit.idempotency?;
@@ -149,7 +151,8 @@
         self.runs.borrow().get(key).cloned()
     }
 
-    fn take_up(&self, run: &Rc<Run>, submit: &wire::Submit, outbox: &link::Outbox) {
+    /// Attaches a stream to a run and detaches the former reader.
+    fn resume(&self, run: &Rc<Run>, submit: &wire::Submit, outbox: &link::Outbox) {
         let stream = submit.stream;
         if run.submit.account != submit.account
             || run.submit.request_digest != submit.request_digest
@@ -163,9 +166,9 @@
         }
         run.answer.borrow_mut().replayed |= submit.request != run.submit.request;
         let reader = answer::Reader::new(stream, submit.from_offset, submit.credit_bytes.into());
-        let new = Subscriber { outbox: outbox.clone(), reader };
-        let former = run.subscriber.replace(Some(new));
-        run.alone_since_ms.set(None);
+        let subscriber = Subscriber { outbox: outbox.clone(), reader };
+        let former = run.subscriber.replace(Some(subscriber));
+        run.detached_since_ms.set(None);
         if let Some(former) = former.filter(|former| !former.reader.is_done()) {
             let refusal = error::Refusal::unknown(error::Kind::Superseded);
             send_refusal(&former.outbox, former.reader.stream, refusal);
@@ -189,41 +192,40 @@
         if self.is_leaving(endpoint) {
             return Err(refuse(error::Kind::Draining));
         }
-        self.follow_config(endpoint);
+        self.apply_config(endpoint);
         let snapshot = self.hub.snapshot.load();
         if self.is_withdrawn(&submit.key) {
             return Err(refuse(error::Kind::KeyWithdrawn));
         }
-        let in_force = snapshot.config.as_ref().ok_or_else(|| refuse(error::Kind::NotReady))?;
-        let config = &in_force.model;
-        // The entry's configuration may be newer by the time it takes to spread; another side may
-        // have it already.
+        let active_config =
+            snapshot.config.as_ref().ok_or_else(|| refuse(error::Kind::NotReady))?;
+        let config = &active_config.model;
+        // The entry's configuration may be newer, because configurations take time to spread. Another
+        // side may already have it.
         let class = config.class(&submit.class).ok_or_else(|| refuse(error::Kind::NotReady))?;
         let now_ms = self.now_ms();
         let share = config.share_of(&submit.account);
         let expected_ms = endpoint.first_token_ms(class, &submit.account, share, now_ms);
-        let longest_wait_ms = config.class_at(class).text.longest_wait_ms();
-        if let Some(longest_ms) = longest_wait_ms.filter(|most| u64::from(expected_ms) > *most) {
+        let max_wait_ms = config.class_at(class).text.longest_wait_ms();
+        if let Some(max_ms) = max_wait_ms.filter(|max_ms| u64::from(expected_ms) > *max_ms) {
             let refusal = refuse(error::Kind::TooLate);
-            return Err(
-                refusal.retry_after_ms(expected_ms.saturating_sub(longest_ms as u32).max(1))
-            );
+            return Err(refusal.retry_after_ms(expected_ms.saturating_sub(max_ms as u32).max(1)));
         }
         let run = self.insert(submit, outbox, now_ms);
         let give_up_at_ms =
-            longest_wait_ms.map_or(run.deadline_ms, |most| run.deadline_ms.min(now_ms + most));
-        let output = endpoint.pace.borrow().output_tokens(run.submit.max_tokens);
+            max_wait_ms.map_or(run.deadline_ms, |max_ms| run.deadline_ms.min(now_ms + max_ms));
+        let output_tokens = endpoint.pace.borrow().output_tokens(run.submit.max_tokens);
         let job = queue::Job {
             id: slotmap::Key::data(&run.key).as_ffi(),
             class,
             account: run.account().clone(),
             share,
-            estimate_tokens: u64::from(run.submit.prompt_tokens) + output,
+            estimate_tokens: u64::from(run.submit.prompt_tokens) + output_tokens,
             target_at_ms: now_ms + u64::from(run.submit.target_ms),
             give_up_at_ms,
         };
-        self.place(endpoint, &run, job);
-        self.pump(endpoint);
+        self.enqueue(endpoint, &run, job);
+        self.start_queued(endpoint);
         Ok(())
     }
 
@@ -233,7 +235,7 @@
         let (request, idempotency) = (submit.request.clone(), submit.idempotency);
         let deadline_ms = now_ms + u64::from(submit.deadline_ms).min(MAX_DEADLINE_MS);
         let span = trace::Span::start("queue", submit.trace);
-        let mut made = None;
+        let mut inserted = None;
         let key = self.runs.borrow_mut().insert_with_key(|key| {
             let run = Rc::new(Run {
                 key,
@@ -245,22 +247,22 @@
                 stopped: RefCell::default(),
                 arrived_ms: now_ms,
                 deadline_ms,
-                alone_since_ms: Cell::new(None),
+                detached_since_ms: Cell::new(None),
                 sent: Cell::new(false),
                 queue_span: RefCell::new(Some(span)),
             });
-            made = Some(Rc::clone(&run));
+            inserted = Some(Rc::clone(&run));
             run
         });
         self.by_request.borrow_mut().insert(request, key);
         if let Some(digest) = idempotency {
             self.by_idempotency.borrow_mut().insert(digest, key);
         }
-        made.expect("insert_with_key calls its closure")
+        inserted.expect("insert_with_key calls its closure")
     }
 
-    /// Puts a job into the queue; refuses it, or the one it displaces.
-    fn place(&self, endpoint: &endpoint::Endpoint, run: &Run, job: queue::Job) {
+    /// Queues a job; refuses it when the queue is full, or the job that it displaces.
+    fn enqueue(&self, endpoint: &endpoint::Endpoint, run: &Run, job: queue::Job) {
         let pushed = endpoint.queue.borrow_mut().push(job);
         match pushed {
             queue::Pushed::Waits(ticket) => *run.phase.borrow_mut() = Phase::Queued(ticket),
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Gives a job that is no longer queued its final answer, with when to come back.
+    /// Refuses a job that is no longer queued, and tells its caller when to retry.
     fn refuse_job(&self, endpoint: &endpoint::Endpoint, job: &queue::Job, kind: error::Kind) {
         let Some(run) = self.run_of(job) else { return };
         let retry_after_ms =
@@ -288,10 +290,10 @@
         self.runs.borrow().get(key).cloned()
     }
 
-    /// Brings an endpoint's queue to the configuration in force.
-    pub(super) fn follow_config(&self, endpoint: &endpoint::Endpoint) {
+    /// Updates an endpoint's queue to the active configuration.
+    pub(super) fn apply_config(&self, endpoint: &endpoint::Endpoint) {
         let snapshot = self.hub.snapshot.load();
-        let Some((jobs, config)) = endpoint.follow(&snapshot) else {
+        let Some((jobs, config)) = endpoint.apply_config(&snapshot) else {
             return;
         };
         for mut job in jobs {
@@ -301,7 +303,7 @@
             match config.class(&run.submit.class) {
                 Some(class) => {
                     job.class = class;
-                    self.place(endpoint, &run, job);
+                    self.enqueue(endpoint, &run, job);
                 }
                 None => self.finish(
                     &run,
@@ -311,8 +313,8 @@
         }
     }
 
-    /// Starts requests while slots are free.
-    pub(super) fn pump(self: &Rc<Self>, endpoint: &endpoint::Endpoint) {
+    /// Refuses expired jobs, then starts queued ones while slots are free.
+    pub(super) fn start_queued(self: &Rc<Self>, endpoint: &endpoint::Endpoint) {
         let expired = endpoint.queue.borrow_mut().expire(self.now_ms());
         for job in expired {
             self.refuse_job(endpoint, &job, error::Kind::TooLate);
@@ -327,7 +329,7 @@
             };
             *run.phase.borrow_mut() = Phase::Running;
             endpoint.running.set(endpoint.running.get() + 1);
-            endpoint.prefixes.borrow_mut().note(run.submit.prefix);
+            endpoint.prefixes.borrow_mut().record(run.submit.prefix);
             if let Some(span) = run.queue_span.borrow_mut().take() {
                 span.end(&self.spans, &run.submit.request);
             }
@@ -335,18 +337,19 @@
         }
     }
 
-    /// Ends a run that is not running any more.
+    /// Ends a run whose call is over or was never started. A run with an idempotency key that has reached
+    /// the endpoint stays, so that its answer can be replayed.
     pub(super) fn finish(&self, run: &Rc<Run>, ending: answer::Ending) {
         run.end(ending);
-        let keep = run.submit.idempotency.is_some() && run.sent.get();
-        if !keep && run.is_delivered() {
-            self.forget(run);
-        } else if run.alone_since_ms.get().is_none() {
-            run.alone_since_ms.set(Some(self.now_ms()));
+        let is_replayable = run.submit.idempotency.is_some() && run.sent.get();
+        if !is_replayable && run.is_delivered() {
+            self.remove_run(run);
+        } else if run.detached_since_ms.get().is_none() {
+            run.detached_since_ms.set(Some(self.now_ms()));
         }
     }
 
-    pub(super) fn forget(&self, run: &Run) {
+    pub(super) fn remove_run(&self, run: &Run) {
         self.runs.borrow_mut().remove(run.key);
         self.by_request.borrow_mut().remove(&run.submit.request);
         if let Some(digest) = run.submit.idempotency {
@@ -357,7 +360,8 @@
         }
     }
 
-    /// Stops a run for a reason of the router's own.
+    /// Stops a run for a reason that doesn't come from the endpoint. A call that may not be repeated
+    /// continues once it has been sent.
     pub(super) fn stop(self: &Rc<Self>, run: &Rc<Run>, kind: error::Kind) {
         let queued = match *run.phase.borrow() {
             Phase::Queued(ticket) => Some(ticket),
@@ -371,8 +375,8 @@
             return self.finish(run, answer::Ending::Refused(error::Refusal::not_run(kind)));
         }
         if run.sent.get() && !run.submit.repeatable {
-            // The call is out and cannot be taken back: its outcome is awaited and kept, whoever
-            // still wants it. Only the caller is told.
+            // The call has been sent and cannot be undone, so the run continues and its outcome is kept.
+            // Only the caller is informed of the withdrawn key.
             if kind == error::Kind::KeyWithdrawn {
                 let refusal = error::Refusal::unknown(kind);
                 if let Some(subscriber) = run.subscriber.borrow_mut().take() {
