--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -1,4 +1,4 @@
-//! The call of a run to its endpoint: claim if needed, send, read the answer to its end.
+//! The call of a run to its endpoint: claims it if it may not be repeated, sends it and reads the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,23 +13,25 @@
 use super::{Run, Side};
 use crate::{answer, claims, error, openai, queue, sse, trace, usage, wire};
 
-/// How long an endpoint may be silent in the middle of an answer.
-const SILENCE_MS: u64 = 30_000;
-/// Longest answer of a call that may not be repeated; it is kept whole until its claim is settled.
-const MAX_WHOLE_BYTES: usize = 8 << 20;
-/// How often an unsettled claim is tried again, and the longest pause between tries.
-const SETTLE_TRIES: u32 = 40;
-const SETTLE_PAUSE_MS: u64 = 250;
-const SETTLE_LONGEST_MS: u64 = 15_000;
+/// Maximum time between two chunks of an answer, also before the first one.
+const READ_TIMEOUT_MS: u64 = 30_000;
+/// Maximum length of an answer to a call that may not be repeated. It is buffered until the outcome of its
+/// claim is stored.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
+/// Attempts to update a claim in the store, and the initial and the maximum backoff between
+/// them.
+const SETTLE_ATTEMPTS: u32 = 40;
+const SETTLE_BACKOFF_MS: u64 = 250;
+const SETTLE_MAX_BACKOFF_MS: u64 = 15_000;
 
-/// Runs a started job to its end.
+/// Executes a started job until its answer has ended.
 pub(super) async fn run(side: Rc<Side>, run: Rc<Run>, mut started: queue::Started) {
-    let begin_ms = side.now_ms();
-    let queue_ms = begin_ms - run.arrived_ms;
+    let started_ms = side.now_ms();
+    let queue_ms = started_ms - run.arrived_ms;
     let mut counter = sse::Counter::default();
     let outcome = call(&side, &run, &mut started, &mut counter).await;
     let output_tokens = u64::from(counter.tokens());
-    account(&side, &run, &outcome, started, begin_ms, output_tokens);
+    record_usage(&side, &run, &outcome, started, started_ms, output_tokens);
     let ending = match outcome {
         Ok(()) => answer::Ending::Whole { tokens: counter.tokens(), queue_ms: queue_ms as u32 },
         Err(refusal) => answer::Ending::Refused(refusal),
@@ -37,29 +39,29 @@
     side.finish(&run, ending);
     if let Some(endpoint) = side.endpoint(run.submit.endpoint) {
         endpoint.running.set(endpoint.running.get() - 1);
-        side.pump(endpoint);
+        side.start_queued(endpoint);
     }
 }
 
-/// Books what the run used.
-fn account(
+/// Records the usage and latency of a run.
+fn record_usage(
     side: &Side,
     run: &Run,
     outcome: &Result<(), error::Refusal>,
     started: queue::Started,
-    begin_ms: u64,
+    started_ms: u64,
     output_tokens: u64,
 ) {
     let Some(endpoint) = side.endpoint(run.submit.endpoint) else {
         return;
     };
     let prompt_tokens = u64::from(run.submit.prompt_tokens);
-    // After a change of configuration the queue is another one, and the charge went with the old.
-    if endpoint.version() == started.version() {
+    // A change of configuration replaces the queue and with it the charge for this job.
+    if endpoint.config_version() == started.version() {
         endpoint.queue.borrow_mut().finish(started, prompt_tokens + output_tokens);
     }
     if outcome.is_ok() {
-        let service_ms = side.now_ms() - begin_ms;
+        let service_ms = side.now_ms() - started_ms;
         endpoint.pace.borrow_mut().finished(service_ms, output_tokens);
     }
     if !run.sent.get() {
@@ -87,9 +89,9 @@
     let Some(mut claim) = claimed? else {
         return Ok(());
     };
-    // The key may have been withdrawn, or the deadline passed, while the store was asked.
+    // The key may have been withdrawn, or the deadline may have passed, during the call to the store.
     if let Some(refusal) = run.stopped.borrow().clone() {
-        settle_soon(side, Unsettled::Release(claim));
+        settle_in_background(side, PendingUpdate::Release(claim));
         return Err(error::Refusal { ran: error::Ran::No, ..refusal });
     }
     let outcome = exchange(side, run, started, counter).await;
@@ -97,20 +99,20 @@
         Ok(()) => {
             let state = claims::State::Done(saved(&run.answer.borrow()));
             if !claims::settle(&side.platform, &mut claim, state.clone()).await {
-                settle_soon(side, Unsettled::Settle(claim, state));
+                settle_in_background(side, PendingUpdate::Settle(claim, state));
             }
         }
         Err(refusal) if refusal.ran == error::Ran::No => {
             if !claims::release(&side.platform, &claim).await {
-                settle_soon(side, Unsettled::Release(claim));
+                settle_in_background(side, PendingUpdate::Release(claim));
             }
         }
-        Err(_) => settle_soon(side, Unsettled::Settle(claim, claims::State::Unknown)),
+        Err(_) => settle_in_background(side, PendingUpdate::Settle(claim, claims::State::Unknown)),
     }
     outcome
 }
 
-/// Claims a call that may not be repeated; `None` when its answer was found instead.
+/// Claims a call that may not be repeated; returns `None` when an earlier run's answer is replayed instead.
 async fn claim(side: &Rc<Side>, run: &Rc<Run>) -> Result<Option<claims::Claim>, error::Refusal> {
     let digest = run
         .submit
@@ -132,7 +134,7 @@
         }
         claims::Outcome::Refuse { refusal, open } => {
             if let Some(claim) = open {
-                settle_soon(side, Unsettled::Release(claim));
+                settle_in_background(side, PendingUpdate::Release(claim));
             }
             Err(refusal)
         }
@@ -159,32 +161,36 @@
     claims::SavedAnswer { status, headers, body }
 }
 
-/// What the store has still to be told of a claim.
-enum Unsettled {
+/// An update of a claim that the store has not confirmed yet.
+enum PendingUpdate {
     Release(claims::Claim),
     Settle(claims::Claim, claims::State),
 }
 
-/// Tells the store later, for as long as the store may be down; the caller does not wait.
-fn settle_soon(side: &Rc<Side>, unsettled: Unsettled) {
+/// Retries the update of a claim in the background while the store is unavailable, so that the caller does
+/// not wait for it.
+fn settle_in_background(side: &Rc<Side>, update: PendingUpdate) {
     let side = Rc::clone(side);
     tokio::task::spawn_local(async move {
-        let mut unsettled = unsettled;
-        for attempt in 0..SETTLE_TRIES {
-            let settled = match &mut unsettled {
-                Unsettled::Release(claim) => claims::release(&side.platform, claim).await,
-                Unsettled::Settle(claim, state) => {
+        let mut update = update;
+        for attempt in 0..SETTLE_ATTEMPTS {
+            let settled = match &mut update {
+                PendingUpdate::Release(claim) => claims::release(&side.platform, claim).await,
+                PendingUpdate::Settle(claim, state) => {
                     claims::settle(&side.platform, claim, state.clone()).await
                 }
             };
             if settled {
                 return;
             }
-            let most_ms = (SETTLE_PAUSE_MS << attempt.min(10)).min(SETTLE_LONGEST_MS);
-            let pause_ms = rand::random_range(most_ms / 2..=most_ms);
-            time::sleep(Duration::from_millis(pause_ms)).await;
+            let max_ms = (SETTLE_BACKOFF_MS << attempt.min(10)).min(SETTLE_MAX_BACKOFF_MS);
+            let backoff_ms = rand::random_range(max_ms / 2..=max_ms);
+            time::sleep(Duration::from_millis(backoff_ms)).await;
         }
-        slog::error!(side.log, "a claim stays unsettled; an operator resolves it");
+        slog::error!(
+            side.log,
+            "store did not accept the update of a claim; an operator has to resolve the claim"
+        );
     });
 }
 
@@ -229,13 +235,13 @@
     let method = Method::from_bytes(call.method.as_bytes())
         .map_err(|_| error::Refusal::not_run(error::Kind::InvalidRequest))?;
     let url = format!("{}{}", endpoint.url, call.path);
-    // An endpoint may close a kept connection at the moment the next call goes out on it, and then
-    // nobody can tell whether the call was read. A call that may not be repeated would end with its
-    // outcome unknown; so it never goes out on a used connection.
+    // An endpoint may close a kept connection at the moment when the next call is sent on it, and then it
+    // is unknown whether the call was read. A call that may not be repeated would end with an unknown
+    // outcome, so it is never sent on a used connection.
     let mut request = if run.submit.repeatable {
         side.http.request(method, url)
     } else {
-        side.http_once.request(method, url).force_close()
+        side.http_no_reuse.request(method, url).force_close()
     }
     .no_decompress();
     for field in &call.headers {
@@ -249,17 +255,17 @@
         .timeout(Millis(u32::try_from(left_ms).unwrap_or(u32::MAX))))
 }
 
-/// Sends the call; a repeatable one a second time if the connection broke before any answer, for
-/// then the connection was most likely one that the endpoint had just closed.
+/// Sends the call. A repeatable call is sent a second time if the connection broke before any answer,
+/// because then the endpoint had most likely just closed a kept connection.
 async fn send(
     side: &Side,
     run: &Run,
     context: trace::Context,
 ) -> Result<client::ClientResponse, error::Refusal> {
-    let mut again = run.submit.repeatable;
+    let mut may_retry = run.submit.repeatable;
     loop {
         let request = request(side, run, context)?;
-        // From here on bytes may have reached the endpoint, unless connecting itself failed.
+        // From here on bytes may have reached the endpoint, unless the connection attempt fails.
         run.sent.set(true);
         let body = Bytes::from(run.submit.call.body.clone());
         let error = match request.send_body(body).await {
@@ -274,7 +280,7 @@
             client::error::ClientError::Timeout => {
                 return Err(error::Refusal::unknown(error::Kind::DeadlineExceeded));
             }
-            _ if again => again = false,
+            _ if may_retry => may_retry = false,
             other => {
                 return Err(error::Refusal::unknown(error::Kind::EndpointFailed)
                     .detail(format!("({other})")));
@@ -304,11 +310,11 @@
         while run.submit.repeatable && run.is_behind() {
             run.wake.notified().await;
         }
-        let read = time::timeout(Duration::from_millis(SILENCE_MS), payload.recv());
-        let piece = match read.await {
-            Ok(Some(Ok(piece))) => piece,
+        let read = time::timeout(Duration::from_millis(READ_TIMEOUT_MS), payload.recv());
+        let chunk = match read.await {
+            Ok(Some(Ok(chunk))) => chunk,
             Ok(None) => break,
-            Ok(Some(Err(error))) => return Err(cut_short(&error)),
+            Ok(Some(Err(error))) => return Err(truncated(&error)),
             Err(_) => {
                 let refusal = error::Refusal::unknown(error::Kind::EndpointFailed);
                 return Err(refusal.detail("The endpoint fell silent."));
@@ -316,36 +322,36 @@
         };
         if first {
             first = false;
-            first_token(side, run, sent_ms);
+            record_first_token(side, run, sent_ms);
         }
-        take_piece(side, run, started, counter, &piece, is_stream)?;
+        append_chunk(side, run, started, counter, &chunk, is_stream)?;
     }
     if !is_stream {
-        count_whole(run, counter);
+        count_reported_tokens(run, counter);
     }
     if is_stream && !counter.is_done() {
-        // An engine that dies closes its connection like one that is done. Without its closing
-        // event the answer is not whole, and saying so is better than a shortened answer.
+        // A dying engine closes its connection just like one that has finished. Without the closing event
+        // the answer is incomplete, and an error is better than a truncated answer.
         let refusal = error::Refusal::unknown(error::Kind::EndpointFailed);
         return Err(refusal.detail("The endpoint ended its answer early."));
     }
     Ok(())
 }
 
-/// Takes the tokens of an answer that did not come as a stream from what it says of itself.
-fn count_whole(run: &Run, counter: &mut sse::Counter) {
+/// Takes the number of output tokens from the usage that a non-streamed answer reports.
+fn count_reported_tokens(run: &Run, counter: &mut sse::Counter) {
     let answer = run.answer.borrow();
     if let Some(tokens) = openai::output_tokens(answer.piece(0, answer.held_bytes())) {
         counter.set_tokens(tokens);
     }
 }
 
-fn cut_short(error: &PayloadError) -> error::Refusal {
+fn truncated(error: &PayloadError) -> error::Refusal {
     error::Refusal::unknown(error::Kind::EndpointFailed)
         .detail(format!("The endpoint's answer broke off ({error})."))
 }
 
-fn first_token(side: &Side, run: &Run, sent_ms: u64) {
+fn record_first_token(side: &Side, run: &Run, sent_ms: u64) {
     if let Some(endpoint) = side.endpoint(run.submit.endpoint) {
         let now_ms = side.now_ms();
         let after_ms = now_ms - sent_ms;
@@ -353,31 +359,32 @@
     }
 }
 
-fn take_piece(
+fn append_chunk(
     side: &Side,
     run: &Run,
     started: &mut queue::Started,
     counter: &mut sse::Counter,
-    piece: &[u8],
+    chunk: &[u8],
     is_stream: bool,
 ) -> Result<(), error::Refusal> {
     let mut answer = run.answer.borrow_mut();
-    answer.push(piece);
+    answer.push(chunk);
     let held = answer.held_bytes();
     drop(answer);
     if !run.submit.repeatable {
-        // Told to the caller only once the claim is settled or on its way: see `call`.
-        if held > MAX_WHOLE_BYTES {
+        // The caller gets the answer only after the outcome of the claim was stored or is being stored in
+        // the background, see `call`.
+        if held > MAX_BUFFERED_BYTES {
             let refusal = error::Refusal::unknown(error::Kind::EndpointFailed);
             return Err(refusal.detail("The answer is too long."));
         }
         return Ok(());
     }
     if is_stream {
-        counter.push(piece);
+        counter.push(chunk);
         let tokens = u64::from(run.submit.prompt_tokens) + u64::from(counter.tokens());
         if let Some(endpoint) = side.endpoint(run.submit.endpoint)
-            && endpoint.version() == started.version()
+            && endpoint.config_version() == started.version()
         {
             endpoint.queue.borrow_mut().progress(started, tokens);
         }
@@ -394,8 +401,8 @@
         .is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-/// Headers that belong to one connection and are not passed on.
-const HOP_HEADERS: [&str; 8] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -410,7 +417,7 @@
     response
         .headers()
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(&name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
         .filter_map(|(name, value)| {
             let value = value.to_str().ok()?.to_owned();
             Some(wire::Header { name: name.as_str().into(), value })
