--- a/src/side/sweep.rs
+++ b/src/side/sweep.rs
@@ -1,4 +1,4 @@
-//! Looks over all runs at short intervals: withdrawn keys, deadlines, runs left alone, memory.
+//! The periodic sweep over all runs: withdrawn keys, deadlines, detached runs and kept answers.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -10,10 +10,10 @@
 use super::run::{Phase, Run};
 use crate::error;
 
-/// How often runs are looked over for withdrawn keys, deadlines and lost links.
+/// Interval of the sweep.
 const SWEEP_MS: u64 = 100;
 
-/// Looks over all runs at short intervals.
+/// Sweeps for the lifetime of the process.
 pub(super) async fn run(side: Rc<Side>) {
     loop {
         time::sleep(Duration::from_millis(SWEEP_MS)).await;
@@ -22,8 +22,8 @@
 }
 
 impl Side {
-    /// Ends runs whose key was withdrawn, whose deadline has passed, or whom nobody came back for;
-    /// lets go of ended ones.
+    /// Stops runs whose key was withdrawn, whose deadline has passed, or that stayed detached for longer
+    /// than the linger time; removes ended runs whose answer is no longer needed.
     pub(super) fn sweep_once(self: &Rc<Self>) {
         let now_ms = self.now_ms();
         let revision = self.hub.snapshot.load().keys.revision();
@@ -35,24 +35,24 @@
         for run in &runs {
             let ended = matches!(*run.phase.borrow(), Phase::Ended);
             kept_bytes += run.answer.borrow().held_bytes();
-            let alone_ms = run.alone_since_ms.get().map_or(0, |since| now_ms - since);
-            let left_alone = alone_ms > self.settings.linger_ms;
+            let detached_ms = run.detached_since_ms.get().map_or(0, |since| now_ms - since);
+            let is_abandoned = detached_ms > self.settings.linger_ms;
             if ended {
-                // An answer that nobody can come back for goes with its last reader.
-                let wanted = run.submit.idempotency.is_some() || !run.is_delivered();
-                if left_alone || !wanted {
-                    self.forget(run);
+                // Without an idempotency key no other reader can follow, so a delivered answer is removed.
+                let needed = run.submit.idempotency.is_some() || !run.is_delivered();
+                if is_abandoned || !needed {
+                    self.remove_run(run);
                 }
             } else if now_ms >= run.deadline_ms {
                 self.stop(run, error::Kind::DeadlineExceeded);
-            } else if left_alone {
+            } else if is_abandoned {
                 self.stop(run, error::Kind::LinkLost);
             }
         }
-        self.trim_kept(&runs, kept_bytes);
+        self.evict_answers(&runs, kept_bytes);
         for endpoint in &self.endpoints {
-            self.follow_config(endpoint);
-            self.pump(endpoint);
+            self.apply_config(endpoint);
+            self.start_queued(endpoint);
             let waiting = endpoint.queue.borrow().len() as f64;
             metrics::gauge!("briarwinch_queue_jobs", "endpoint" => endpoint.id.to_string())
                 .set(waiting);
@@ -62,19 +62,20 @@
         metrics::gauge!("briarwinch_draining").set(f64::from(u8::from(draining)));
     }
 
-    /// Lets go of ended answers, those left alone longest first, when they hold too much memory.
-    fn trim_kept(&self, runs: &[Rc<Run>], mut kept_bytes: usize) {
+    /// Evicts delivered answers when kept answers exceed their memory limit, those detached
+    /// longest first.
+    fn evict_answers(&self, runs: &[Rc<Run>], mut kept_bytes: usize) {
         if kept_bytes <= self.settings.kept_bytes {
             return;
         }
         let mut ended: Vec<&Rc<Run>> = runs.iter().filter(|run| run.is_delivered()).collect();
-        ended.sort_by_key(|run| run.alone_since_ms.get());
+        ended.sort_by_key(|run| run.detached_since_ms.get());
         for run in ended {
             if kept_bytes <= self.settings.kept_bytes {
                 return;
             }
             kept_bytes -= run.answer.borrow().held_bytes();
-            self.forget(run);
+            self.remove_run(run);
         }
     }
 }
