--- a/tests/processes/at_most_once.rs
+++ b/tests/processes/at_most_once.rs
@@ -1,4 +1,5 @@
-//! A call that may not be repeated runs at most once.
+//! Tests that a call that may not be repeated runs at most once, through retries, lost answers, crashes and
+//! stalls.
 
 use std::thread;
 
@@ -6,21 +7,22 @@
 use serde_json::json;
 
 use crate::caller;
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
 fn runs(fleet: &Fleet, key: &str) -> u64 {
     fleet.service.record()["keys"][key].as_u64().unwrap_or(0)
 }
 
-/// A clerk's browser sends one payment many times over, through both entries and to two sides at
-/// once. Each one that slipped through would be a second payment.
+/// Guards against a second run of a payment that a client sends many times concurrently, through both
+/// entries and to two sides.
 #[test]
 fn one_payment_sent_many_times_runs_once() {
-    let mut fleet = Fleet::start(Shape { engines: 1, call_ms: 100, ..Shape::default() });
+    let mut fleet =
+        Fleet::start(FleetOptions { engines: 1, call_ms: 100, ..FleetOptions::default() });
     let url = fleet.service.url.clone();
     let second = fleet.spawn_side("side-loket-2", "loket", &url);
     fleet.sides.push(second);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     let answers: Vec<caller::Answer> = thread::scope(|scope| {
         let senders: Vec<_> = (0..24)
@@ -38,12 +40,12 @@
     let first = answers.iter().find(|answer| answer.status == 200).expect("one is answered");
     for answer in &answers {
         match answer.status {
-            200 => assert_eq!(answer.text, first.text, "the same answer to all"),
+            200 => assert_eq!(answer.text, first.text, "every caller gets the same answer"),
             409 => assert!(["claim_running", "superseded"].contains(&answer.code().as_str())),
             other => panic!("{other}: {}", answer.text),
         }
     }
-    // Later, too, the same answer is given again, and another body under the same key refused.
+    // Later the same answer is replayed, and another body with the same key is refused.
     let entry = &fleet.entries[1];
     let again = caller::send(caller::payment(entry, &key, "rush-17"), "{\"sum\": 40}");
     assert_eq!((again.status, again.text.as_str()), (200, first.text.as_str()));
@@ -52,11 +54,11 @@
     assert_eq!(runs(&fleet, "rush-17"), 1);
 }
 
-/// The store writes the claim and its answer is lost. Taken for a failure, the payment would never
-/// run; written again without looking, it could run twice.
+/// The store writes the claim but its answer is lost. Guards against treating this as a failure, so that
+/// the payment never runs, and against writing the claim again unread, so that the payment runs twice.
 #[test]
 fn lost_answers_of_the_store_neither_lose_nor_double_a_payment() {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 1, ..Shape::default() });
+    let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
     let key = fleet.grant("court");
     for number in 0..6 {
         fleet.fail_platform(&json!({"lose_answers": number}));
@@ -67,11 +69,11 @@
     }
 }
 
-/// The store is down. A payment that cannot be claimed is refused, not run, at once; model requests
-/// go on with what is known; and when the store is back the same payment runs.
+/// While the store is down, a payment that cannot be claimed is refused at once and not run, and model
+/// requests continue with the known configuration. When the store is back, the same payment runs.
 #[test]
 fn payment_without_the_store_is_refused_not_run() {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 1, ..Shape::default() });
+    let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
     let key = fleet.grant("court");
     fleet.fail_platform(&json!({"down": true}));
     let pay = || caller::send(caller::payment(&fleet.entries[0], &key, "later"), "{}");
@@ -81,18 +83,22 @@
     assert_eq!(runs(&fleet, "later"), 0);
     let request = caller::chat(&fleet.entries[0], &key);
     let answer = caller::send(request, &caller::chat_body("meanwhile", 3, true));
-    caller::assert_whole(&answer.text, "meanwhile", 3);
+    caller::assert_complete(&answer.text, "meanwhile", 3);
     fleet.fail_platform(&json!({}));
     assert_eq!(pay().status, 200);
     assert_eq!(runs(&fleet, "later"), 1);
 }
 
-/// The side dies after it sent the payment and before it knew the outcome. Whoever asks again must
-/// not run it a second time; an operator finds out and says what happened.
+/// The side dies after it sent the payment and before it received the outcome. Guards against a second run
+/// when the caller retries: the claim stays unresolved until an operator records what happened.
 #[test]
 fn payment_whose_side_died_waits_for_an_operator() {
-    let mut fleet =
-        Fleet::start(Shape { entries: 1, engines: 1, call_ms: 1500, ..Shape::default() });
+    let mut fleet = Fleet::start(FleetOptions {
+        entries: 1,
+        engines: 1,
+        call_ms: 1500,
+        ..FleetOptions::default()
+    });
     let key = fleet.grant("court");
     let request = caller::payment(&fleet.entries[0], &key, "broken");
     let sent = thread::spawn(move || caller::send(request, "{}"));
@@ -100,10 +106,10 @@
     fleet.sides[1].process.kill();
     let answer = sent.join().expect("no panic");
     assert_eq!((answer.status, answer.ran.as_deref()), (502, Some("unknown")));
-    // The side comes back, as a new start of the same daemon.
+    // The side is restarted under the same identifier.
     let url = fleet.service.url.clone();
     fleet.sides[1] = fleet.spawn_side("side-loket", "loket", &url);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let again = fleet::wait_for("the payment is answered", || {
         let again = caller::send(caller::payment(&fleet.entries[0], &key, "broken"), "{}");
         (again.code() != "no_endpoint").then_some(again)
@@ -118,16 +124,20 @@
     assert_eq!(runs(&fleet, "broken"), 1);
 }
 
-/// The side is frozen between claim and answer and woken later, while its caller tries again through
-/// the other side.
+/// Guards against a second run of a payment whose side is suspended between claim and answer, while the
+/// caller retries through the other side.
 #[test]
 fn payment_of_a_frozen_side_runs_once() {
-    let mut fleet =
-        Fleet::start(Shape { entries: 1, engines: 1, call_ms: 300, ..Shape::default() });
+    let mut fleet = Fleet::start(FleetOptions {
+        entries: 1,
+        engines: 1,
+        call_ms: 300,
+        ..FleetOptions::default()
+    });
     let url = fleet.service.url.clone();
     let second = fleet.spawn_side("side-loket-2", "loket", &url);
     fleet.sides.push(second);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     let request = caller::payment(&fleet.entries[0], &key, "frozen");
     let sent = thread::spawn(move || caller::try_send(request, "{}"));
