--- a/tests/processes/bad_input.rs
+++ b/tests/processes/bad_input.rs
@@ -1,4 +1,4 @@
-//! Whatever is sent, the answer is clear and nothing is lost.
+//! Tests that malformed input is refused with its error code and does not affect other requests.
 
 use std::io::{Read, Write};
 use std::net::{TcpStream, UdpSocket};
@@ -6,11 +6,13 @@
 use serde_json::json;
 
 use crate::caller;
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
+/// Guards against malformed requests that reach the engine, get an unspecific answer or disturb the next
+/// request.
 #[test]
-fn bad_input_gets_a_clear_answer_and_hurts_nobody() {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 1, ..Shape::default() });
+fn bad_input_is_refused_with_its_error_code() {
+    let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
     let key = fleet.grant("court");
     let entry = &fleet.entries[0];
     let bearer = format!("Bearer {key}");
@@ -49,17 +51,17 @@
     let answer = caller::send(post(chat), &long);
     assert_eq!((answer.status, answer.code().as_str()), (413, "body_too_large"));
 
-    half_a_request(entry, &bearer);
-    garbage(&fleet);
+    check_partial_request(entry, &bearer);
+    check_garbage(&fleet);
 
     let record = fleet.engines[0].record();
-    assert_eq!(record["runs"], json!({}), "nothing of this reached the engine");
+    assert_eq!(record["runs"], json!({}), "a bad request reached the engine");
     let answer = caller::send(post(chat), &good);
-    caller::assert_whole(&answer.text, "good", 2);
+    caller::assert_complete(&answer.text, "good", 2);
 }
 
-/// A caller that sends half a body and then nothing is answered, not kept.
-fn half_a_request(entry: &fleet::Daemon, bearer: &str) {
+/// Checks that a caller that sends only a part of its body is refused or disconnected.
+fn check_partial_request(entry: &fleet::Daemon, bearer: &str) {
     let mut stream = TcpStream::connect(&entry.work_addr).expect("the entry listens");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: {bearer}\r\n\
@@ -71,8 +73,8 @@
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
 }
 
-/// Bytes that are no messages of this fleet are dropped and counted.
-fn garbage(fleet: &Fleet) {
+/// Checks that bytes that are not messages of this fleet are dropped and counted.
+fn check_garbage(fleet: &Fleet) {
     let side = &fleet.sides[0];
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a socket");
     for length in [0, 1, 15, 16, 17, 1400, 4000] {
@@ -89,7 +91,7 @@
             let _ = stream.read(&mut [0; 64]);
         }
     }
-    fleet::wait_for("the side counts garbage", || {
+    fleet::wait_for("the side counts the rejected messages", || {
         let datagrams = side.metric("briarwinch_rejected_messages_total");
         let links = side.metric("briarwinch_links_refused_total");
         (datagrams >= 10.0 && links >= 2.0).then_some(())
