--- a/tests/processes/billing.rs
+++ b/tests/processes/billing.rs
@@ -1,14 +1,14 @@
-//! No billing window is reported twice with different figures.
+//! Tests that no billing window is reported twice with different figures.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Value, json};
 
 use crate::caller;
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
-/// Output tokens in the reports, each window counted once; checks that a window reported more than
-/// once has the same figures each time.
+/// Returns the output tokens in the reports, with each window counted once. Checks that a window that was
+/// reported more than once has the same figures each time.
 fn reported_tokens(fleet: &Fleet) -> u64 {
     let record = fleet.platform.record();
     let mut windows: BTreeMap<u64, Value> = BTreeMap::new();
@@ -16,7 +16,7 @@
         let window = report["window"].as_u64().expect("a window");
         let figures = report["figures"].clone();
         if let Some(before) = windows.insert(window, figures.clone()) {
-            assert_eq!(before, figures, "window {window} reported with other figures");
+            assert_eq!(before, figures, "window {window} was reported with different figures");
         }
     }
     windows
@@ -26,18 +26,23 @@
         .sum()
 }
 
-/// The holder of the billing duty dies, answers of the store are lost, and the store is down for a
-/// while. Whoever reports next must report the same figures, and nothing that ran may be missing.
+/// The holder of the billing duty dies, answers of the store are lost, and the store is down for a while.
+/// Guards against a successor that reports other figures for a window, and against lost usage.
 #[test]
-fn reports_add_up_through_a_holders_death_and_lost_answers() {
-    let mut fleet = Fleet::start(Shape { entries: 3, engines: 1, token_ms: 1, ..Shape::default() });
+fn reports_stay_consistent_after_a_holder_death_and_lost_answers() {
+    let mut fleet = Fleet::start(FleetOptions {
+        entries: 3,
+        engines: 1,
+        token_ms: 1,
+        ..FleetOptions::default()
+    });
     let key = fleet.grant("court");
     let mut tokens = 0;
     let mut ask = |entry: &fleet::Daemon, count: u32| {
         let prompt = format!("billed {tokens}");
         let answer =
             caller::send(caller::chat(entry, &key), &caller::chat_body(&prompt, count, true));
-        caller::assert_whole(&answer.text, &prompt, count);
+        caller::assert_complete(&answer.text, &prompt, count);
         tokens += u64::from(count);
         tokens
     };
@@ -46,9 +51,11 @@
         fleet.fail_platform(&json!({"lose_answers": round}));
     }
     let expected = ask(&fleet.entries[2], 10);
-    fleet::wait_for("all is reported", || (reported_tokens(&fleet) == expected).then_some(()));
+    fleet::wait_for("all usage is reported", || {
+        (reported_tokens(&fleet) == expected).then_some(())
+    });
 
-    let holder = fleet::wait_for("somebody holds the duty", || {
+    let holder = fleet::wait_for("an entry holds the duty", || {
         fleet.entries.iter().position(|entry| {
             let duties = entry.status()["duties"].clone();
             duties.as_array().is_some_and(|list| list.iter().any(|duty| duty["held_here"] == true))
