--- a/tests/processes/caller.rs
+++ b/tests/processes/caller.rs
@@ -1,12 +1,12 @@
-//! What callers of the tests send, and how their answers are checked.
+//! Client side of the tests: builds requests, reads answers and checks them.
 
 use std::io::Read;
 
 use serde_json::{Value, json};
 
-use crate::fleet::{Daemon, LONGEST};
+use crate::fleet::{Daemon, MAX_WAIT};
 
-/// A status and what came with it.
+/// An HTTP response.
 pub struct Answer {
     pub status: u16,
     pub ran: Option<String>,
@@ -26,14 +26,14 @@
     }
 }
 
-/// Sends a request; any status is an answer.
+/// Sends a request and returns the response, whatever its status is.
 pub fn send(request: ureq::Request, body: &str) -> Answer {
     try_send(request, body).expect("an answer")
 }
 
-/// Sends a request; `None` when the connection broke before the answer was whole.
+/// Sends a request; returns `None` when the connection broke before the response was complete.
 pub fn try_send(request: ureq::Request, body: &str) -> Option<Answer> {
-    let response = match request.timeout(LONGEST).send_string(body) {
+    let response = match request.timeout(MAX_WAIT).send_string(body) {
         Ok(response) | Err(ureq::Error::Status(_, response)) => response,
         Err(ureq::Error::Transport(_)) => return None,
     };
@@ -46,37 +46,37 @@
     Some(Answer { status, ran, request, replayed, retry_after, text })
 }
 
-/// A chat request to an entry.
+/// Builds a chat request to an entry.
 pub fn chat(entry: &Daemon, key: &str) -> ureq::Request {
     ureq::post(&format!("{}/v1/chat/completions", entry.url()))
         .set("authorization", &format!("Bearer {key}"))
         .set("content-type", "application/json")
 }
 
-/// The body of a chat request.
+/// Builds the body of a chat request.
 pub fn chat_body(prompt: &str, tokens: u32, stream: bool) -> String {
     json!({"model": "juru-tulis", "stream": stream, "max_tokens": tokens,
         "messages": [{"role": "user", "content": prompt}]})
     .to_string()
 }
 
-/// A payment at the plain service.
+/// Builds a payment request for the plain service.
 pub fn payment(entry: &Daemon, key: &str, idempotency: &str) -> ureq::Request {
     ureq::post(&format!("{}/services/loket/payments", entry.url()))
         .set("authorization", &format!("Bearer {key}"))
         .set("idempotency-key", idempotency)
 }
 
-/// The token at a place of the stand-in engine's answer to a prompt.
-pub fn token(prompt: &str, place: u32) -> String {
+/// Returns the token at a position of the stand-in engine's answer to a prompt.
+pub fn token(prompt: &str, position: u32) -> String {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     prompt.hash(&mut hasher);
-    place.hash(&mut hasher);
+    position.hash(&mut hasher);
     format!(" w{:05x}", hasher.finish() & 0xf_ffff)
 }
 
-/// The tokens in a streamed answer so far, and whether it ended as a whole one does.
+/// Returns the tokens in a streamed answer so far, and whether the answer is complete.
 pub fn stream_tokens(text: &str) -> (Vec<String>, bool) {
     let mut tokens = Vec::new();
     for data in text.lines().filter_map(|line| line.strip_prefix("data: ")) {
@@ -93,34 +93,35 @@
     (tokens, false)
 }
 
-/// Checks that a streamed answer is exactly the one to this prompt.
-pub fn assert_whole(text: &str, prompt: &str, count: u32) {
-    let expected: Vec<String> = (0..count).map(|place| token(prompt, place)).collect();
-    let (tokens, whole) = stream_tokens(text);
-    let right = tokens.iter().zip(&expected).take_while(|(got, wanted)| got == wanted).count();
+/// Checks that a streamed answer is complete and exactly the one to this prompt.
+pub fn assert_complete(text: &str, prompt: &str, count: u32) {
+    let expected: Vec<String> = (0..count).map(|position| token(prompt, position)).collect();
+    let (tokens, complete) = stream_tokens(text);
+    let correct = tokens.iter().zip(&expected).take_while(|(got, wanted)| got == wanted).count();
     let tail = &text[text.len().saturating_sub(400)..];
     assert!(
-        tokens == expected && whole,
-        "not the whole answer: {} of {count} tokens, the first {right} right, ending {tail}",
+        tokens == expected && complete,
+        "incomplete answer: {} of {count} tokens, the first {correct} correct, ending {tail}",
         tokens.len()
     );
 }
 
-/// A streamed answer that is read piece by piece.
-pub struct Reading {
+/// A streamed answer that is read incrementally.
+pub struct StreamReader {
     reader: Box<dyn Read + Send + Sync>,
     pub text: String,
 }
 
-impl Reading {
+impl StreamReader {
     /// Sends a request and reads up to its first token.
     pub fn open(request: ureq::Request, body: &str) -> Self {
         let response = request.send_string(body).expect("a head");
-        let mut reading = Self { reader: Box::new(response.into_reader()), text: String::new() };
-        while stream_tokens(&reading.text).0.is_empty() {
-            assert!(reading.read(), "a first token");
+        let mut stream_reader =
+            Self { reader: Box::new(response.into_reader()), text: String::new() };
+        while stream_tokens(&stream_reader.text).0.is_empty() {
+            assert!(stream_reader.read(), "a first token");
         }
-        reading
+        stream_reader
     }
 
     fn read(&mut self) -> bool {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Reads to the end, whatever it is.
+    /// Reads to the end and returns the whole text.
     pub fn rest(mut self) -> String {
         while self.read() {}
         self.text
