--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -1,4 +1,4 @@
-//! A side written here, that misbehaves on the link to a real entry.
+//! Tests of a real entry with a fake side that misbehaves on the link.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,23 +10,24 @@
 use tokio::task;
 
 use crate::caller;
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
-/// How the side misbehaves.
+/// The fault that the fake side injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
-    /// Frames of other streams, of earlier generations of the slot, twice, and out of their place.
-    Crossed,
-    /// The connection is cut after some of the answer; the rest comes on the next one.
-    Cuts,
+enum Fault {
+    /// Sends frames of other streams and of earlier generations of the slot, and duplicate and overlapping
+    /// frames.
+    StrayFrames,
+    /// Closes the connection after a part of the answer and sends the rest on the next connection.
+    LostConnections,
 }
 
 const TOKENS: u32 = 40;
 
 fn body_for(prompt: &str) -> Vec<u8> {
     let mut text = String::new();
-    for place in 0..TOKENS {
-        let chunk = json!({"choices": [{"delta": {"content": caller::token(prompt, place)}}]});
+    for position in 0..TOKENS {
+        let chunk = json!({"choices": [{"delta": {"content": caller::token(prompt, position)}}]});
         text.push_str(&format!("data: {chunk}\n\n"));
     }
     text.push_str("data: [DONE]\n\n");
@@ -39,27 +40,27 @@
 }
 
 struct FakeSide {
-    manner: Manner,
+    fault: Fault,
     secret: seal::Secret,
-    /// The prompts of the runs, by request, as first submitted.
+    /// The prompts of the runs, by request identifier, as first submitted.
     runs: std::cell::RefCell<std::collections::HashMap<String, String>>,
-    taken_up: Arc<AtomicU32>,
+    resumed_runs: Arc<AtomicU32>,
 }
 
-/// Starts the side on a thread of its own, as a member of the fleet.
-fn spawn(fleet: &Fleet, manner: Manner) -> Arc<AtomicU32> {
+/// Starts the fake side on its own thread, as a member of the fleet. Returns the number of resumed runs.
+fn spawn(fleet: &Fleet, fault: Fault) -> Arc<AtomicU32> {
     let settings: settings::Daemon =
         serde_json::from_value(fleet.daemon_settings("side-fake")).expect("settings");
-    let taken_up = Arc::new(AtomicU32::new(0));
-    let counter = Arc::clone(&taken_up);
+    let resumed_runs = Arc::new(AtomicU32::new(0));
+    let counter = Arc::clone(&resumed_runs);
     std::thread::spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
-        runner.block_on(serve(settings, manner, counter));
+        runner.block_on(serve(settings, fault, counter));
     });
-    taken_up
+    resumed_runs
 }
 
-async fn serve(mut settings: settings::Daemon, manner: Manner, taken_up: Arc<AtomicU32>) {
+async fn serve(mut settings: settings::Daemon, fault: Fault, resumed_runs: Arc<AtomicU32>) {
     let secret = seal::Secret::fleet(&settings.fleet_secret);
     let mut work_addr = "127.0.0.1:0".parse().expect("an address");
     let work = bound::Pair::bind(&mut work_addr).expect("a free port");
@@ -74,7 +75,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let hub = Arc::new(hub::Hub::default());
     control::spawn(settings, identity, hub, log, peer).expect("a thread");
-    let side = Rc::new(FakeSide { manner, secret, runs: Default::default(), taken_up });
+    let side = Rc::new(FakeSide { fault, secret, runs: Default::default(), resumed_runs });
     task::spawn_local(answer_asks(
         Rc::clone(&side),
         UdpSocket::from_std(work.udp).expect("a socket"),
@@ -119,17 +120,17 @@
             continue;
         };
         if submit.take_up {
-            side.taken_up.fetch_add(1, Ordering::Relaxed);
+            side.resumed_runs.fetch_add(1, Ordering::Relaxed);
         } else {
             let prompt = prompt_of(&submit);
             side.runs.borrow_mut().insert(submit.request.to_string(), prompt);
         }
         let prompt = side.runs.borrow()[submit.request.as_str()].clone();
         let body = body_for(&prompt);
-        match side.manner {
-            Manner::Crossed => crossed(&link.outbox, &submit, &body),
-            Manner::Cuts => {
-                if cut(&link.outbox, &submit, &body).await {
+        match side.fault {
+            Fault::StrayFrames => send_stray_frames(&link.outbox, &submit, &body),
+            Fault::LostConnections => {
+                if send_part(&link.outbox, &submit, &body).await {
                     return Ok(());
                 }
             }
@@ -152,31 +153,32 @@
     wire::ToEntry::End(wire::End { stream, length: body.len() as u64, tokens: TOKENS, queue_ms: 0 })
 }
 
-fn crossed(outbox: &link::Outbox, submit: &wire::Submit, body: &[u8]) {
+fn send_stray_frames(outbox: &link::Outbox, submit: &wire::Submit, body: &[u8]) {
     let stream = submit.stream;
-    let before = wire::StreamId { generation: stream.generation.wrapping_sub(1), ..stream };
-    let beside = wire::StreamId { slot: stream.slot + 1000, ..stream };
+    let former = wire::StreamId { generation: stream.generation.wrapping_sub(1), ..stream };
+    let unused = wire::StreamId { slot: stream.slot + 1000, ..stream };
     let stray = vec![b'X'; 100];
     outbox.send(&head(stream));
     for from in (0..body.len()).step_by(100) {
-        // A late frame of the slot's former request, and one of a stream that never was.
+        // Late frames of the slot's former request, and a frame of a stream that never existed.
         outbox.send(&wire::ToEntry::Data(wire::Data {
-            stream: before,
+            stream: former,
             offset: from as u64,
             bytes: stray.clone(),
         }));
-        outbox.send(&end(before, &stray));
-        outbox.send(&data(beside, body, from, from + 100));
+        outbox.send(&end(former, &stray));
+        outbox.send(&data(unused, body, from, from + 100));
         outbox.send(&data(stream, body, from, from + 100));
-        // The same once more, and one that overlaps what has come.
+        // A duplicate, and a frame that overlaps the bytes already sent.
         outbox.send(&data(stream, body, from, from + 100));
         outbox.send(&data(stream, body, from / 2, from + 50));
     }
     outbox.send(&end(stream, body));
 }
 
-/// Sends a third of the body and cuts the link, until the rest is shorter than that.
-async fn cut(outbox: &link::Outbox, submit: &wire::Submit, body: &[u8]) -> bool {
+/// Sends a third of the body, then closes the link unless the body is complete. Returns whether it closed the
+/// link.
+async fn send_part(outbox: &link::Outbox, submit: &wire::Submit, body: &[u8]) -> bool {
     let (stream, from) = (submit.stream, submit.from_offset as usize);
     if from == 0 {
         outbox.send(&head(stream));
@@ -187,7 +189,7 @@
         outbox.send(&end(stream, body));
         return false;
     }
-    // What is in the buffer leaves before the link closes.
+    // The buffered frames are sent before the link closes.
     while outbox.backlog_bytes() > 0 {
         task::yield_now().await;
     }
@@ -196,49 +198,48 @@
     true
 }
 
-fn fleet_with(manner: Manner) -> (Fleet, Arc<AtomicU32>, String) {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 0, ..Shape::default() });
-    let taken_up = spawn(&fleet, manner);
+fn fleet_with(fault: Fault) -> (Fleet, Arc<AtomicU32>, String) {
+    let fleet = Fleet::start(FleetOptions { entries: 1, engines: 0, ..FleetOptions::default() });
+    let resumed_runs = spawn(&fleet, fault);
     let key = fleet.grant("court");
     fleet::wait_for("the entry knows the fake side", || {
         let members = fleet.entries[0].status()["members"].clone();
         let members = members.as_array().cloned().unwrap_or_default();
         members.iter().any(|member| member["id"] == "side-fake").then_some(())
     });
-    (fleet, taken_up, key)
+    (fleet, resumed_runs, key)
 }
 
-/// Frames come late, twice, out of place, or for a stream whose slot has gone to another request.
-/// Without the generation and the offset a caller would get bytes of another caller's answer.
+/// Frames arrive late, twice, overlapping, or for a stream whose slot was reused. Guards against bytes of
+/// another caller's answer, which the generation and the offset of a frame prevent.
 #[test]
-fn late_and_crossed_frames_reach_nobody() {
-    let (fleet, _, key) = fleet_with(Manner::Crossed);
+fn stale_and_misaddressed_frames_are_dropped() {
+    let (fleet, _, key) = fleet_with(Fault::StrayFrames);
     for number in 0..20 {
         let prompt = format!("crossed {number}");
         let request = caller::chat(&fleet.entries[0], &key);
         let answer = caller::send(request, &caller::chat_body(&prompt, TOKENS, true));
-        caller::assert_whole(&answer.text, &prompt, TOKENS);
+        caller::assert_complete(&answer.text, &prompt, TOKENS);
     }
     let stale = fleet.entries[0].metric("briarwinch_stale_frames_total");
-    assert!(stale > 100.0, "{stale} stale frames were dropped and counted");
+    assert!(stale > 100.0, "only {stale} stale frames were dropped and counted");
 }
 
-/// The connection between entry and side is cut, twice, while the answer comes. The same run is
-/// taken up at the byte after the last one received.
+/// The connection between entry and side is lost twice during an answer. Guards against a lost or repeated
+/// part of the answer: the entry resumes the same run after the last byte received.
 #[test]
-fn cut_connection_is_taken_up_where_it_stopped() {
-    let (fleet, taken_up, key) = fleet_with(Manner::Cuts);
+fn answer_resumes_after_a_lost_connection() {
+    let (fleet, resumed_runs, key) = fleet_with(Fault::LostConnections);
     let request = caller::chat(&fleet.entries[0], &key);
     let answer = caller::send(request, &caller::chat_body("cut", TOKENS, true));
-    caller::assert_whole(&answer.text, "cut", TOKENS);
-    assert_eq!(taken_up.load(Ordering::Relaxed), 2);
+    caller::assert_complete(&answer.text, "cut", TOKENS);
+    assert_eq!(resumed_runs.load(Ordering::Relaxed), 2);
 }
 
-/// The platform's type is used by the members of the fleet; this keeps its form in view of the
-/// stand-in's.
+/// Guards against a roster type of the daemons that differs from the format of the stand-in.
 #[test]
-fn roster_of_the_stand_in_reads() {
+fn roster_of_the_stand_in_parses() {
     let text = json!({"revision": 1, "instances": [{"id": "a", "standing": "leaving"}]});
-    let roster: platform::Roster = serde_json::from_value(text).expect("its form");
+    let roster: platform::Roster = serde_json::from_value(text).expect("a roster");
     assert_eq!(roster.instances[0].standing, platform::Standing::Leaving);
 }
