--- a/tests/processes/faults.rs
+++ b/tests/processes/faults.rs
@@ -1,5 +1,5 @@
-//! Everything at once: processes are killed and frozen, the store fails, keys are withdrawn, while
-//! requests and payments go on.
+//! Tests the guarantees of the system under mixed faults: processes are killed, suspended and restarted, and
+//! the store fails, while requests and payments continue.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -13,20 +13,21 @@
 use serde_json::json;
 
 use crate::caller;
-use crate::fleet::{Daemon, Fleet, Shape};
+use crate::fleet::{Daemon, Fleet, FleetOptions};
 
 const SEED: u64 = 20_261_203;
 const ROUNDS: u32 = 12;
 
-/// What callers have been told.
+/// The outcomes that callers have received.
 #[derive(Default)]
-struct Told {
+struct Outcomes {
+    /// Requests that were reported as not run.
     not_run: Mutex<Vec<String>>,
-    whole: Mutex<u32>,
+    complete: Mutex<u32>,
     paid: Mutex<HashSet<String>>,
 }
 
-fn ask(entry: &Daemon, key: &str, told: &Told, random: &mut StdRng) {
+fn ask(entry: &Daemon, key: &str, outcomes: &Outcomes, random: &mut StdRng) {
     let prompt = format!("faults {:x}", random.random::<u64>());
     let count = random.random_range(1..30);
     let request = caller::chat(entry, key);
@@ -34,60 +35,63 @@
         return;
     };
     if answer.status == 200 {
-        let (tokens, whole) = caller::stream_tokens(&answer.text);
+        let (tokens, complete) = caller::stream_tokens(&answer.text);
         let expected: Vec<String> = (0..count).map(|place| caller::token(&prompt, place)).collect();
-        assert_eq!(tokens[..], expected[..tokens.len()], "never another's tokens");
-        let says_so = answer.text.contains("event: error");
-        assert!(whole && tokens.len() == expected.len() || says_so, "neither whole nor told so");
-        *told.whole.lock().expect("no panic") += u32::from(whole);
+        assert_eq!(tokens[..], expected[..tokens.len()], "tokens of another answer");
+        let has_error = answer.text.contains("event: error");
+        assert!(
+            complete && tokens.len() == expected.len() || has_error,
+            "incomplete without an error event"
+        );
+        *outcomes.complete.lock().expect("no panic") += u32::from(complete);
     }
-    note_refusal(&answer, told);
+    note_refusal(&answer, outcomes);
 }
 
-fn note_refusal(answer: &caller::Answer, told: &Told) {
+fn note_refusal(answer: &caller::Answer, outcomes: &Outcomes) {
     if answer.ran.as_deref() == Some("no") {
         let request = answer.request.clone().expect("its name");
-        told.not_run.lock().expect("no panic").push(request);
+        outcomes.not_run.lock().expect("no panic").push(request);
     }
 }
 
-fn pay(entries: &[Daemon], key: &str, told: &Told, random: &mut StdRng) {
+fn pay(entries: &[Daemon], key: &str, outcomes: &Outcomes, random: &mut StdRng) {
     let name = format!("payment-{:x}", random.random::<u64>());
     for _ in 0..3 {
         let entry = &entries[random.random_range(0..entries.len())];
         let Some(answer) = caller::try_send(caller::payment(entry, key, &name), "{}") else {
             continue;
         };
-        note_refusal(&answer, told);
+        note_refusal(&answer, outcomes);
         if answer.status == 200 {
-            told.paid.lock().expect("no panic").insert(name.clone());
+            outcomes.paid.lock().expect("no panic").insert(name.clone());
         }
     }
 }
 
-/// One fault after another, some of them together. It ends with everything running again.
+/// Injects one fault after another. At the end all processes run again.
 fn cause_faults(
-    fleet: &mut [Daemon],
+    sides: &mut [Daemon],
     spawn: impl Fn(usize) -> Daemon,
     platform: impl Fn(serde_json::Value),
 ) {
     let mut random = StdRng::seed_from_u64(SEED);
     for _ in 0..ROUNDS {
-        let victim = random.random_range(0..fleet.len());
+        let victim = random.random_range(0..sides.len());
         match random.random_range(0..5) {
             0 => {
-                fleet[victim].process.kill();
-                fleet[victim] = spawn(victim);
+                sides[victim].process.kill();
+                sides[victim] = spawn(victim);
             }
             1 => {
-                fleet[victim].process.signal(Signal::SIGSTOP);
+                sides[victim].process.signal(Signal::SIGSTOP);
                 thread::sleep(Duration::from_millis(random.random_range(50..900)));
-                fleet[victim].process.signal(Signal::SIGCONT);
+                sides[victim].process.signal(Signal::SIGCONT);
             }
             2 => {
-                fleet[victim].process.signal(Signal::SIGTERM);
-                fleet[victim].process.wait();
-                fleet[victim] = spawn(victim);
+                sides[victim].process.signal(Signal::SIGTERM);
+                sides[victim].process.wait();
+                sides[victim] = spawn(victim);
             }
             3 => {
                 platform(json!({"down": true}));
@@ -100,28 +104,32 @@
     }
 }
 
-/// Whatever fails, alone or together: an answer is whole or says that it is not, "not run" is true,
-/// no payment runs twice, and no key reaches an endpoint.
+/// Guards against violated guarantees under faults: an answer is complete or ends with an error, a request
+/// reported as not run has not run, no payment runs twice, and no key reaches an endpoint.
 #[test]
-fn promises_hold_under_mixed_faults() {
+fn guarantees_hold_under_mixed_faults() {
     println!("seed {SEED}, {ROUNDS} faults");
-    let mut fleet =
-        Fleet::start(Shape { engines: 3, drain_ms: 3000, call_ms: 20, ..Shape::default() });
+    let mut fleet = Fleet::start(FleetOptions {
+        engines: 3,
+        drain_ms: 3000,
+        call_ms: 20,
+        ..FleetOptions::default()
+    });
     let url = fleet.service.url.clone();
     let second = fleet.spawn_side("side-loket-2", "loket", &url);
     fleet.sides.push(second);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     let mut sides = std::mem::take(&mut fleet.sides);
-    let (told, done) = (Told::default(), AtomicBool::new(false));
+    let (outcomes, done) = (Outcomes::default(), AtomicBool::new(false));
     thread::scope(|scope| {
-        let (fleet, told, done, key) = (&fleet, &told, &done, &key);
+        let (fleet, outcomes, done, key) = (&fleet, &outcomes, &done, &key);
         for caller in 0..6_u64 {
             scope.spawn(move || {
                 let mut random = StdRng::seed_from_u64(SEED + caller);
                 while !done.load(Ordering::Relaxed) {
-                    ask(&fleet.entries[caller as usize % 2], key, told, &mut random);
-                    pay(&fleet.entries, key, told, &mut random);
+                    ask(&fleet.entries[caller as usize % 2], key, outcomes, &mut random);
+                    pay(&fleet.entries, key, outcomes, &mut random);
                 }
             });
         }
@@ -138,13 +146,17 @@
         done.store(true, Ordering::Relaxed);
     });
     fleet.sides = sides;
-    let not_run = told.not_run.into_inner().expect("no panic");
-    let paid = told.paid.into_inner().expect("no panic");
-    let whole = told.whole.into_inner().expect("no panic");
-    println!("{whole} whole answers, {} payments, {} refusals not run", paid.len(), not_run.len());
-    assert!(whole > 0 && !paid.is_empty());
+    let not_run = outcomes.not_run.into_inner().expect("no panic");
+    let paid = outcomes.paid.into_inner().expect("no panic");
+    let complete = outcomes.complete.into_inner().expect("no panic");
+    println!(
+        "{complete} complete answers, {} payments, {} refusals not run",
+        paid.len(),
+        not_run.len()
+    );
+    assert!(complete > 0 && !paid.is_empty());
     for request in &not_run {
-        assert!(!fleet.has_run(request), "{request} was said not to have run");
+        assert!(!fleet.has_run(request), "{request} was reported as not run");
     }
     let record = fleet.service.record();
     let keys = record["keys"].as_object().expect("a map");
@@ -152,7 +164,7 @@
         assert_eq!(runs, &json!(1), "{name}");
     }
     for name in paid {
-        assert!(keys.contains_key(&name), "{name} was answered and never ran");
+        assert!(keys.contains_key(&name), "{name} was answered but never ran");
     }
     for standin in fleet.engines.iter().chain([&fleet.service, &fleet.platform]) {
         assert_eq!(standin.record()["key_seen"], json!(false));
