--- a/tests/processes/fleet.rs
+++ b/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a fleet of real processes for a test, and ends it.
+//! Test fixture: starts a fleet of real processes for a test and ends it.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader};
@@ -10,39 +10,39 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 
-/// Bound of every wait; far above what any of them takes.
-pub const LONGEST: Duration = Duration::from_secs(60);
+/// Limit of every wait, which is far above the expected time.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
 const POLL: Duration = Duration::from_millis(20);
 
-/// Where the binaries are: beside the test's own.
+/// Returns the path of a binary, which is in the folder above that of the test binary.
 pub fn binary(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("a running test has a path");
     let folder = own.parent().and_then(|deps| deps.parent()).expect("target/PROFILE/deps");
     folder.join(name)
 }
 
-/// Waits until `condition` gives something.
+/// Waits until `condition` returns a value.
 pub fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LONGEST;
+    let end = Instant::now() + MAX_WAIT;
     loop {
         if let Some(found) = condition() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain for: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         std::thread::sleep(POLL);
     }
 }
 
-/// Longest wait for one answer of a daemon that is only asked what it knows.
-const CALL: Duration = Duration::from_secs(5);
+/// Timeout of a single status or model list request.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Shows what an entry answered last and knows, when a test fails while it waits.
-struct Shown<'a> {
+/// Prints the last answer and the status of an entry when a test fails during a wait.
+struct FailureReport<'a> {
     last: &'a RefCell<String>,
     entry: &'a Daemon,
 }
 
-impl Drop for Shown<'_> {
+impl Drop for FailureReport<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             println!("last answer: {}; status: {}", self.last.borrow(), self.entry.status());
@@ -50,7 +50,7 @@
     }
 }
 
-/// A process of this test; ended when dropped.
+/// A process of this test, which is killed when dropped.
 pub struct Process {
     child: Child,
     pub first_line: String,
@@ -67,7 +67,7 @@
         let mut output = BufReader::new(child.stdout.take().expect("piped"));
         let mut first_line = String::new();
         output.read_line(&mut first_line).expect("the process prints its address");
-        // Whatever else it prints is read, so that it is never blocked by a full pipe.
+        // The rest of the output is read, so that the process never blocks on a full pipe.
         std::thread::spawn(move || {
             let _ = std::io::copy(&mut output, &mut std::io::sink());
         });
@@ -83,7 +83,7 @@
         let _ = self.child.wait();
     }
 
-    /// Waits for its end; the exit code.
+    /// Waits until the process exits; returns the exit code.
     pub fn wait(&mut self) -> i32 {
         wait_for("a process ends", || self.child.try_wait().expect("own child"))
             .code()
@@ -97,7 +97,7 @@
     }
 }
 
-/// A stand-in with its address.
+/// A stand-in process with its address.
 pub struct Standin {
     pub process: Process,
     pub url: String,
@@ -110,13 +110,13 @@
         Self { url: format!("http://{addr}"), process }
     }
 
-    /// What it has recorded.
+    /// Returns what the stand-in has recorded.
     pub fn record(&self) -> Value {
         get_json(&format!("{}/record", self.url))
     }
 }
 
-/// A daemon with its addresses.
+/// A daemon process with its addresses.
 pub struct Daemon {
     pub process: Process,
     pub peer_addr: String,
@@ -162,7 +162,7 @@
         answer.expect("metrics").into_string().expect("text")
     }
 
-    /// The value of a metric summed over its labels.
+    /// Returns the value of a metric, summed over its labels.
     pub fn metric(&self, name: &str) -> f64 {
         let text = self.metrics();
         let lines = text.lines().filter(|line| line.starts_with(name) && !line.starts_with('#'));
@@ -171,12 +171,14 @@
 }
 
 pub fn get_json(url: &str) -> Value {
-    let answer =
-        ureq::get(url).timeout(CALL).call().unwrap_or_else(|error| panic!("{url}: {error}"));
+    let answer = ureq::get(url)
+        .timeout(CALL_TIMEOUT)
+        .call()
+        .unwrap_or_else(|error| panic!("{url}: {error}"));
     answer.into_json().expect("JSON")
 }
 
-/// The configuration that the tests use unless they say otherwise.
+/// Returns the default configuration of the tests.
 pub fn config() -> Value {
     json!({
         "classes": {
@@ -195,9 +197,9 @@
     })
 }
 
-/// How a fleet is made up.
+/// The size and settings of a fleet.
 #[derive(Clone)]
-pub struct Shape {
+pub struct FleetOptions {
     pub entries: usize,
     pub engines: usize,
     pub token_ms: u64,
@@ -206,11 +208,11 @@
     pub lag_ms: u64,
     pub drain_ms: u64,
     pub linger_ms: u64,
-    /// How long a call to the plain service takes.
+    /// Duration of a call to the plain service.
     pub call_ms: u64,
 }
 
-impl Default for Shape {
+impl Default for FleetOptions {
     fn default() -> Self {
         Self {
             entries: 2,
@@ -226,51 +228,51 @@
     }
 }
 
-/// A running fleet: platform, engines and a plain service with a side each, entries.
+/// A running fleet: the platform, engines and a plain service with one side each, and entries.
 pub struct Fleet {
     pub platform: Standin,
     pub engines: Vec<Standin>,
     pub service: Standin,
-    /// One an engine, then the service's.
+    /// The side of each engine, then that of the service.
     pub sides: Vec<Daemon>,
     pub entries: Vec<Daemon>,
-    pub shape: Shape,
+    pub options: FleetOptions,
     seeds: Vec<String>,
-    /// Of this fleet alone. A daemon of another test may be given a port that one of this fleet has
-    /// left; with one secret for all, its newer versions would be taken here.
+    /// Unique to this fleet. A daemon of another test may get a port that a daemon of this fleet has
+    /// used; with a common secret this fleet would accept its newer versions.
     secret: String,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until it serves.
-    pub fn start(shape: Shape) -> Self {
-        Self::start_with(shape, format!("a secret of the tests, {:x}", rand::random::<u64>()))
+    /// Starts a fleet and waits until it is ready.
+    pub fn start(options: FleetOptions) -> Self {
+        Self::start_with(options, format!("a secret of the tests, {:x}", rand::random::<u64>()))
     }
 
-    /// Starts a fleet whose secret may be another fleet's too.
-    pub fn start_with(shape: Shape, secret: String) -> Self {
-        let lag = shape.lag_ms.to_string();
+    /// Starts a fleet with a secret that other fleets may share.
+    pub fn start_with(options: FleetOptions, secret: String) -> Self {
+        let lag = options.lag_ms.to_string();
         let platform = Standin::spawn(&["platform", "--lag-ms", &lag]);
-        let token_ms = shape.token_ms.to_string();
-        let slots = shape.engine_slots.to_string();
-        let call_ms = shape.call_ms.to_string();
+        let token_ms = options.token_ms.to_string();
+        let slots = options.engine_slots.to_string();
+        let call_ms = options.call_ms.to_string();
         let engine = || Standin::spawn(&["engine", "--token-ms", &token_ms, "--slots", &slots]);
         let mut fleet = Self {
             platform,
-            engines: (0..shape.engines).map(|_| engine()).collect(),
+            engines: (0..options.engines).map(|_| engine()).collect(),
             service: Standin::spawn(&["service", "--call-ms", &call_ms]),
             sides: Vec::new(),
             entries: Vec::new(),
-            shape,
+            options,
             seeds: Vec::new(),
             secret,
         };
-        for number in 0..fleet.shape.entries {
+        for number in 0..fleet.options.entries {
             let entry = fleet.spawn_entry(&format!("entry-{number}"));
             fleet.seeds.push(entry.peer_addr.clone());
             fleet.entries.push(entry);
         }
-        for number in 0..fleet.shape.engines {
+        for number in 0..fleet.options.engines {
             let url = fleet.engines[number].url.clone();
             let side = fleet.spawn_side(&format!("side-{number}"), "juru-tulis", &url);
             fleet.sides.push(side);
@@ -278,14 +280,14 @@
         let url = fleet.service.url.clone();
         let side = fleet.spawn_side("side-loket", "loket", &url);
         fleet.sides.push(side);
-        let config = fleet.shape.config.to_string();
+        let config = fleet.options.config.to_string();
         assert_eq!(fleet.apply(&config).0, 0, "the configuration is accepted");
-        fleet.wait_until_whole();
+        fleet.wait_until_connected();
         fleet
     }
 
     /// Waits until every daemon is ready and every entry knows all sides.
-    pub fn wait_until_whole(&self) {
+    pub fn wait_until_connected(&self) {
         let daemons = self.entries.len() + self.sides.len();
         wait_for("all daemons know each other", || {
             self.entries
@@ -305,7 +307,7 @@
             "id": id, "region": "jawa", "zone": "jkt",
             "peer_addr": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
             "platform_url": self.platform.url, "fleet_secret": self.secret,
-            "seeds": self.seeds, "drain_ms": self.shape.drain_ms,
+            "seeds": self.seeds, "drain_ms": self.options.drain_ms,
         })
     }
 
@@ -313,14 +315,14 @@
         self.spawn_entry_with(&self.daemon_settings(id))
     }
 
-    /// A side at a peer address that another daemon has left.
+    /// Starts a side at a peer address that another daemon has used.
     pub fn spawn_side_at(&self, id: &str, peer_addr: &str) -> Daemon {
         let mut daemon = self.daemon_settings(id);
         daemon["peer_addr"] = peer_addr.into();
         self.spawn_side_with(&daemon, "loket", &self.service.url)
     }
 
-    /// An entry whose platform address leads nowhere.
+    /// Starts an entry whose platform address is unreachable.
     pub fn spawn_entry_without_store(&self, id: &str) -> Daemon {
         let mut daemon = self.daemon_settings(id);
         daemon["platform_url"] = "http://127.0.0.1:1".into();
@@ -346,13 +348,13 @@
         let settings = json!({
             "daemon": daemon,
             "work_addr": "127.0.0.1:0",
-            "linger_ms": self.shape.linger_ms,
+            "linger_ms": self.options.linger_ms,
             "endpoints": [{"id": format!("{service}-of-{id}"), "service": service, "url": url}],
         });
         Daemon::spawn("briarwinch-side", &settings)
     }
 
-    /// Runs the operator's tool; its exit code and output.
+    /// Runs the operator's tool; returns its exit code and output.
     pub fn operate(&self, arguments: &[&str]) -> (i32, String) {
         let output = Command::new(binary("briarwinch"))
             .args(["--platform", &self.platform.url, "--admin", &self.entries[0].admin_url])
@@ -380,11 +382,12 @@
         assert_eq!(code, 0, "{key}");
         for entry in &self.entries {
             let last = RefCell::new(String::new());
-            let _shown = Shown { last: &last, entry };
+            let _report = FailureReport { last: &last, entry };
             wait_for("an entry knows the key", || {
                 let models = ureq::get(&format!("{}/v1/models", entry.url()));
-                // A call that hangs would look like a key that never comes.
-                let models = models.timeout(CALL).set("authorization", &format!("Bearer {key}"));
+                // Without the timeout a call that hangs would look like a key that never arrives.
+                let models =
+                    models.timeout(CALL_TIMEOUT).set("authorization", &format!("Bearer {key}"));
                 let answer = models.call();
                 *last.borrow_mut() =
                     answer.as_ref().map_or_else(ToString::to_string, |_| String::new());
@@ -400,20 +403,20 @@
         assert_eq!(code, 0, "{text}");
     }
 
-    /// Tells the platform how to fail.
+    /// Sets the faults that the platform injects.
     pub fn fail_platform(&self, faults: &Value) {
         let url = format!("{}/control/faults", self.platform.url);
-        ureq::post(&url).send_json(faults).expect("the stand-in obeys");
+        ureq::post(&url).send_json(faults).expect("the stand-in accepts the change");
     }
 
-    /// Sets what the platform's lagging list says of an instance or endpoint.
+    /// Sets the state of an instance or endpoint in the platform's list, which lags.
     pub fn list_instance(&self, id: &str, standing: &str) {
         let url = format!("{}/control/instances", self.platform.url);
         let line = json!({"id": id, "standing": standing});
-        ureq::post(&url).send_json(line).expect("the stand-in obeys");
+        ureq::post(&url).send_json(line).expect("the stand-in accepts the change");
     }
 
-    /// Runs of requests at all engines.
+    /// Returns the number of requests that all engines have run.
     pub fn engine_runs(&self) -> u64 {
         let runs = |engine: &Standin| {
             let record = engine.record();
@@ -423,7 +426,7 @@
         self.engines.iter().map(runs).sum()
     }
 
-    /// Whether an engine or the service has run the request of this name.
+    /// Returns whether an engine or the service has run the request with this identifier.
     pub fn has_run(&self, request: &str) -> bool {
         let mut standins = self.engines.iter().chain([&self.service]);
         standins.any(|standin| !standin.record()["runs"][request].is_null())
