--- a/tests/processes/main.rs
+++ b/tests/processes/main.rs
@@ -1,7 +1,7 @@
-//! Tests with the real processes: the daemons, the operator's tool and the stand-ins.
+//! Integration tests with the real processes: the daemons, the operator's tool and the stand-ins.
 //!
-//! Ports are chosen by the system and read from what each process prints. Tests wait for
-//! conditions, with a bound far above what is expected, and never for a fixed time.
+//! The system chooses the ports, and the tests read them from the output of each process. Tests wait for
+//! conditions, with a limit far above the expected time, and never for a fixed time.
 
 mod at_most_once;
 mod bad_input;
