--- a/tests/processes/orders.rs
+++ b/tests/processes/orders.rs
@@ -1,9 +1,10 @@
-//! The platform never gets endpoint orders from two daemons that both believe they are in charge.
+//! Tests that the platform never gets endpoint orders from two daemons that both consider themselves the
+//! holder of the duty.
 
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
 const ZONE: &str = "jkt";
 
@@ -19,7 +20,7 @@
 fn set_endpoint(fleet: &Fleet, id: &str, standing: &str) {
     let url = format!("{}/control/endpoints/{ZONE}", fleet.platform.url);
     let line = json!({"id": id, "service": "juru-tulis", "standing": standing});
-    ureq::post(&url).send_json(line).expect("the stand-in obeys");
+    ureq::post(&url).send_json(line).expect("the stand-in accepts the change");
 }
 
 fn holder(fleet: &Fleet) -> Option<usize> {
@@ -33,61 +34,62 @@
     })
 }
 
-/// The holder is frozen past its term, another takes over and orders, and the first is woken. If it
-/// still ordered, endpoints would be started or stopped twice. The platform here does not check
-/// fencing numbers, so nothing but the term and the intent stands between.
+/// The holder is suspended beyond its term, another entry takes over and sends orders, and the first one
+/// resumes. Guards against orders that start or stop endpoints twice. The platform of this test doesn't check
+/// fencing tokens, so only the term and the recorded intent prevent them.
 #[test]
-fn woken_holder_orders_nothing_after_its_successor() {
-    let mut shape = Shape { entries: 3, engines: 1, ..Shape::default() };
-    shape.config["services"]["juru-tulis"]["endpoints"] = json!({"least": 9, "most": 9});
-    let fleet = Fleet::start(shape);
+fn resumed_holder_sends_no_order_after_its_successor() {
+    let mut options = FleetOptions { entries: 3, engines: 1, ..FleetOptions::default() };
+    options.config["services"]["juru-tulis"]["endpoints"] = json!({"least": 9, "most": 9});
+    let fleet = Fleet::start(options);
     set_endpoint(&fleet, "first", "live");
     fleet::wait_for("the first order", || (!orders(&fleet).is_empty()).then_some(()));
-    let frozen = fleet::wait_for("a holder", || holder(&fleet));
-    fleet.entries[frozen].process.signal(Signal::SIGSTOP);
+    let suspended = fleet::wait_for("a holder", || holder(&fleet));
+    fleet.entries[suspended].process.signal(Signal::SIGSTOP);
     let before = epoch(&orders(&fleet)[0]);
     fleet::wait_for("the successor orders", || {
         orders(&fleet).iter().any(|order| epoch(order) > before).then_some(())
     });
-    fleet.entries[frozen].process.signal(Signal::SIGCONT);
+    fleet.entries[suspended].process.signal(Signal::SIGCONT);
     let count = orders(&fleet).len();
-    // What was started comes up, so that there is more to order.
+    // The ordered endpoints come up, so that further orders are due.
     for number in 1..=8 {
         set_endpoint(&fleet, &format!("ordered-{number}"), "live");
     }
     set_endpoint(&fleet, "first", "leaving");
     fleet::wait_for("more orders", || (orders(&fleet).len() > count).then_some(()));
     let epochs: Vec<u64> = orders(&fleet).iter().map(epoch).collect();
-    assert!(epochs.is_sorted(), "an old epoch after a newer one: {epochs:?}");
+    assert!(epochs.is_sorted(), "an earlier epoch after a later one: {epochs:?}");
     let nonces: std::collections::HashSet<String> =
         orders(&fleet).iter().map(|order| order["order"]["nonce"].to_string()).collect();
-    assert_eq!(nonces.len(), epochs.len(), "no order was sent twice");
+    assert_eq!(nonces.len(), epochs.len(), "an order was sent twice");
 }
 
-/// The store goes down under a holder. Without it a rival could take over unseen, so nothing is
-/// ordered until the store is back, and then there is one holder again.
+/// The store goes down during a holder's term. Guards against orders without the store, while another entry
+/// could take over unnoticed. When the store is back, there is one holder again.
 #[test]
 fn nothing_is_ordered_without_the_store() {
-    let mut shape = Shape { entries: 2, engines: 1, ..Shape::default() };
-    shape.config["services"]["juru-tulis"]["endpoints"] = json!({"least": 9, "most": 9});
-    let fleet = Fleet::start(shape);
+    let mut options = FleetOptions { entries: 2, engines: 1, ..FleetOptions::default() };
+    options.config["services"]["juru-tulis"]["endpoints"] = json!({"least": 9, "most": 9});
+    let fleet = Fleet::start(options);
     set_endpoint(&fleet, "first", "live");
     fleet::wait_for("the first order", || (!orders(&fleet).is_empty()).then_some(()));
     fleet.fail_platform(&json!({"down": true}));
     let count = orders(&fleet).len();
-    fleet::wait_for("nobody holds the duty any more", || holder(&fleet).is_none().then_some(()));
+    fleet::wait_for("no entry holds the duty any more", || holder(&fleet).is_none().then_some(()));
     assert_eq!(orders(&fleet).len(), count);
     fleet.fail_platform(&json!({}));
-    fleet::wait_for("orders go on", || (orders(&fleet).len() > count).then_some(()));
+    fleet::wait_for("orders continue", || (orders(&fleet).len() > count).then_some(()));
     let epochs: Vec<u64> = orders(&fleet).iter().map(epoch).collect();
     assert!(epochs.is_sorted(), "{epochs:?}");
 }
 
-/// The entries that contend for a duty first die one after another. If the rest went on waiting for
-/// them, nobody would bill or order any more, and nothing would say so.
+/// The entries that contend for a duty first die one after another. Guards against the others waiting for
+/// them: billing and orders would stop without any sign.
 #[test]
 fn duty_survives_the_death_of_its_first_contenders() {
-    let mut fleet = Fleet::start(Shape { entries: 4, engines: 0, ..Shape::default() });
+    let mut fleet =
+        Fleet::start(FleetOptions { entries: 4, engines: 0, ..FleetOptions::default() });
     while fleet.entries.len() > 1 {
         let holding = fleet::wait_for("a holder", || holder(&fleet));
         fleet.entries[holding].process.kill();
