--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -1,17 +1,18 @@
-//! More comes than can be served.
+//! Tests of overload: token rate limits, load shedding and deadlines.
 
 use std::thread;
 
-use crate::caller::{self, Reading};
-use crate::fleet::{self, Fleet, Shape};
+use crate::caller::{self, StreamReader};
+use crate::fleet::{self, Fleet, FleetOptions};
 
-/// An account is over its token rate. It is told when to come back, and another account is not
-/// touched.
+/// Guards against an account over its token rate that is not refused with a retry time, or that affects
+/// another account.
 #[test]
-fn account_over_its_token_rate_is_told_when_to_come_back() {
-    let mut shape = Shape { entries: 1, engines: 1, token_ms: 1, ..Shape::default() };
-    shape.config["accounts"]["press"]["tokens_per_s"] = 10.into();
-    let fleet = Fleet::start(shape);
+fn account_over_its_token_rate_gets_a_retry_time() {
+    let mut options =
+        FleetOptions { entries: 1, engines: 1, token_ms: 1, ..FleetOptions::default() };
+    options.config["accounts"]["press"]["tokens_per_s"] = 10.into();
+    let fleet = Fleet::start(options);
     let (press, court) = (fleet.grant("press"), fleet.grant("court"));
     let body = caller::chat_body("budget", 200, false);
     let send = |key: &str| caller::send(caller::chat(&fleet.entries[0], key), &body);
@@ -25,22 +26,23 @@
     assert_eq!(send(&court).status, 200);
 }
 
-/// Journalists' lookups flood an endpoint with one slot and eight places. Those that find no place
-/// are told at once when to come back and have not run; the hearing summaries that come in between
-/// all get their answers.
+/// Low-priority lookups overload an endpoint with one slot and a queue of eight. Guards against hearing
+/// summaries, which have a higher priority, being shed. Lookups that find no place in the queue are
+/// refused at once with a retry time and don't run.
 #[test]
 fn flood_of_lookups_sheds_no_hearing_summary() {
-    let mut shape = Shape { entries: 1, engines: 1, token_ms: 5, ..Shape::default() };
-    shape.config["services"]["juru-tulis"]["slots"] = 1.into();
-    shape.config["services"]["juru-tulis"]["max_queue"] = 8.into();
-    let fleet = Fleet::start(shape);
+    let mut options =
+        FleetOptions { entries: 1, engines: 1, token_ms: 5, ..FleetOptions::default() };
+    options.config["services"]["juru-tulis"]["slots"] = 1.into();
+    options.config["services"]["juru-tulis"]["max_queue"] = 8.into();
+    let fleet = Fleet::start(options);
     let key = fleet.grant("court");
     let send = |class: &str, number: usize| {
         let prompt = format!("{class} {number}");
         let request = caller::chat(&fleet.entries[0], &key).set("briarwinch-class", class);
         let answer = caller::send(request, &caller::chat_body(&prompt, 10, true));
         if answer.status == 200 {
-            caller::assert_whole(&answer.text, &prompt, 10);
+            caller::assert_complete(&answer.text, &prompt, 10);
         }
         answer
     };
@@ -66,19 +68,20 @@
     }
 }
 
-/// A caller says how long it waits. Its running stream is ended and told so when that time is over,
-/// and its request that still waits for the only slot is refused then and never runs.
+/// Guards against requests that outlive their caller's deadline: a running stream ends with an error, and a
+/// request that waits for the only slot is refused and never runs.
 #[test]
 fn deadline_ends_running_and_waiting_requests() {
-    let mut shape = Shape { entries: 1, engines: 1, token_ms: 20, ..Shape::default() };
-    shape.config["services"]["juru-tulis"]["slots"] = 1.into();
-    let fleet = Fleet::start(shape);
+    let mut options =
+        FleetOptions { entries: 1, engines: 1, token_ms: 20, ..FleetOptions::default() };
+    options.config["services"]["juru-tulis"]["slots"] = 1.into();
+    let fleet = Fleet::start(options);
     let key = fleet.grant("court");
     let request = |deadline_ms: &str| {
         caller::chat(&fleet.entries[0], &key).set("briarwinch-deadline-ms", deadline_ms)
     };
     let body = caller::chat_body("long", 4000, true);
-    let running = Reading::open(request("1500"), &body);
+    let running = StreamReader::open(request("1500"), &body);
     let waiting = caller::send(request("300"), &body);
     assert_eq!(waiting.ran.as_deref(), Some("no"), "{}", waiting.text);
     assert!(["too_late", "deadline_exceeded"].contains(&waiting.code().as_str()));
