--- a/tests/processes/path.rs
+++ b/tests/processes/path.rs
@@ -1,19 +1,21 @@
-//! The whole path with real processes.
+//! Tests the path of a request from the caller to the endpoint and back.
 
 use serde_json::json;
 
 use crate::caller;
-use crate::fleet::{self, Fleet, Shape};
+use crate::fleet::{self, Fleet, FleetOptions};
 
+/// Guards against answers, forwarded requests, explanations or status output that are wrong end to end, and
+/// against a key that reaches an endpoint or the store.
 #[test]
 fn a_request_is_served_from_end_to_end() {
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     let key = fleet.grant("court");
     for entry in &fleet.entries {
         let streamed =
             caller::send(caller::chat(entry, &key), &caller::chat_body("exhibits", 8, true));
         assert_eq!(streamed.status, 200);
-        caller::assert_whole(&streamed.text, "exhibits", 8);
+        caller::assert_complete(&streamed.text, "exhibits", 8);
 
         let whole =
             caller::send(caller::chat(entry, &key), &caller::chat_body("exhibits", 8, false));
@@ -27,7 +29,7 @@
     let models: serde_json::Value = models.call().expect("models").into_json().expect("JSON");
     assert_eq!(models["data"][0]["id"], "juru-tulis");
 
-    // Method, query, headers and body of a plain call come through.
+    // Method, query, headers and body of a plain call are forwarded.
     let put = ureq::put(&format!("{}/services/loket/filings/7?copy=2", entry.url()))
         .set("authorization", &bearer)
         .set("idempotency-key", "filing-7");
@@ -36,7 +38,7 @@
     assert_eq!(answer["path"], "/filings/7?copy=2");
     assert_eq!(answer["body"], "the filing");
 
-    // What happened to a request can be told afterwards.
+    // A request can be explained afterwards.
     let answer = caller::send(caller::chat(entry, &key), &caller::chat_body("told", 4, true));
     let request = answer.request.expect("its name");
     let (code, story) = fleet.operate(&["explain", &request]);
@@ -53,9 +55,10 @@
     }
 }
 
+/// Guards against an engine that generates on for a caller that has disconnected.
 #[test]
 fn a_caller_that_hangs_up_is_cancelled_at_the_engine() {
-    let fleet = Fleet::start(Shape { token_ms: 50, ..Shape::default() });
+    let fleet = Fleet::start(FleetOptions { token_ms: 50, ..FleetOptions::default() });
     let key = fleet.grant("court");
     let request = caller::chat(&fleet.entries[0], &key);
     let response = request.send_string(&caller::chat_body("dropped", 2000, true)).expect("a head");
