--- a/tests/processes/stale.rs
+++ b/tests/processes/stale.rs
@@ -1,4 +1,4 @@
-//! Endpoints that close connections kept open between requests.
+//! Tests with endpoints that close connections that were kept open between requests.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,10 +8,10 @@
 use serde_json::json;
 
 use crate::caller;
-use crate::fleet::{Fleet, Shape};
+use crate::fleet::{Fleet, FleetOptions};
 
-/// Serves one request on each connection, keeps it open as if for more, and closes it without an
-/// answer when the next one comes.
+/// Serves one request on each connection, keeps the connection open, and closes it without an answer when the
+/// next request arrives.
 fn serve(answer: String) -> (String, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let url = format!("http://{}", listener.local_addr().expect("bound"));
@@ -33,7 +33,7 @@
     (url, answered)
 }
 
-/// Reads up to the end of a body of the length that its head tells.
+/// Reads a request up to the end of its body, whose length is in the head.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut bytes = Vec::new();
     let mut buffer = [0; 1024];
@@ -62,37 +62,38 @@
     )
 }
 
-/// An engine closes an idle connection at the moment the side sends the next request on it. The
-/// endpoint is well; a caller would see one request in some hundreds fail.
+/// An engine closes an idle connection at the moment when the side sends the next request on it. Guards
+/// against failed requests, one in some hundreds, although the endpoint is healthy.
 #[test]
 fn request_on_a_connection_just_closed_is_sent_again() {
     let token = json!({"choices": [{"delta": {"content": caller::token("stale", 0)}}]});
     let (url, _) = serve(http("text/event-stream", &format!("data: {token}\n\ndata: [DONE]\n\n")));
-    let mut fleet = Fleet::start(Shape { entries: 1, engines: 0, ..Shape::default() });
+    let mut fleet =
+        Fleet::start(FleetOptions { entries: 1, engines: 0, ..FleetOptions::default() });
     let side = fleet.spawn_side("side-stale", "juru-tulis", &url);
     fleet.sides.push(side);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     for _ in 0..6 {
         let request = caller::chat(&fleet.entries[0], &key);
         let answer = caller::send(request, &caller::chat_body("stale", 1, true));
-        caller::assert_whole(&answer.text, "stale", 1);
+        caller::assert_complete(&answer.text, "stale", 1);
     }
 }
 
-/// The same with a call that may not be repeated: it must not go out on a connection whose close
-/// could not be told from a lost answer.
+/// Guards against a call that may not be repeated on a used connection, where a close by the endpoint could
+/// not be distinguished from a lost answer.
 #[test]
 fn payment_never_goes_out_on_a_used_connection() {
     let (url, answered) = serve(http("application/json", "{}"));
-    let mut shape = Shape { entries: 1, engines: 0, ..Shape::default() };
-    shape.config["services"]["mint"] = json!({
+    let mut options = FleetOptions { entries: 1, engines: 0, ..FleetOptions::default() };
+    options.config["services"]["mint"] = json!({
         "kind": "plain", "default_class": "lookup", "repeatable": false,
     });
-    let mut fleet = Fleet::start(shape);
+    let mut fleet = Fleet::start(options);
     let side = fleet.spawn_side("side-mint", "mint", &url);
     fleet.sides.push(side);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     for number in 0..6 {
         let request = ureq::post(&format!("{}/services/mint/coins", fleet.entries[0].url()))
