--- a/tests/processes/streams.rs
+++ b/tests/processes/streams.rs
@@ -1,4 +1,4 @@
-//! Every caller gets the whole answer to its own request, or is told that it does not.
+//! Tests that every caller gets the complete answer to its own request, or an error.
 
 use std::io::{Read, Write};
 use std::process::Command;
@@ -7,41 +7,40 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use crate::caller::{self, Reading};
-use crate::fleet::{self, Fleet, Shape};
+use crate::caller::{self, StreamReader};
+use crate::fleet::{self, Fleet, FleetOptions};
 
-/// An entry dies halfway through an answer, and its caller comes back through the other entry with
-/// the same idempotency key. If the answer died with the entry, a stenographer's draft would be
-/// generated, and paid for, a second time.
+/// An entry dies halfway through an answer, and its caller retries through the other entry with the same
+/// idempotency key. Guards against an answer that is lost with the entry, and generated and billed twice.
 #[test]
 fn answer_outlives_the_entry_that_carried_it() {
-    let mut fleet = Fleet::start(Shape { token_ms: 20, ..Shape::default() });
+    let mut fleet = Fleet::start(FleetOptions { token_ms: 20, ..FleetOptions::default() });
     let key = fleet.grant("court");
     let body = caller::chat_body("draft", 120, true);
     let request = |entry: &fleet::Daemon| {
         caller::chat(entry, &key).set("idempotency-key", "draft of the morning")
     };
-    let first = Reading::open(request(&fleet.entries[0]), &body);
+    let first = StreamReader::open(request(&fleet.entries[0]), &body);
     fleet.entries[0].process.kill();
     let cut = first.rest();
     assert!(!caller::stream_tokens(&cut).1, "cut halfway: {cut}");
     let answer = caller::send(request(&fleet.entries[1]), &body);
     assert!(answer.replayed);
-    caller::assert_whole(&answer.text, "draft", 120);
+    caller::assert_complete(&answer.text, "draft", 120);
     assert_eq!(fleet.engine_runs(), 1, "one run");
 }
 
-/// Guards against a second run of an answer that an endpoint holds, and is paid for, because that endpoint
-/// stalls for a moment when it is asked.
+/// Guards against a second, billed run of a request whose answer an endpoint holds, because that endpoint
+/// stalls briefly when it is asked.
 #[test]
 fn held_answer_is_found_although_its_endpoint_stalls() {
     const STALL: Duration = Duration::from_millis(60);
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     let key = fleet.grant("court");
     let body = caller::chat_body("draft", 4, true);
     let request =
         || caller::chat(&fleet.entries[0], &key).set("idempotency-key", "draft of the morning");
-    caller::assert_whole(&caller::send(request(), &body).text, "draft", 4);
+    caller::assert_complete(&caller::send(request(), &body).text, "draft", 4);
     let ran = |engine: &fleet::Standin| engine.record()["runs"] != json!({});
     let holder = fleet.engines.iter().position(ran).expect("an engine has run it");
     fleet.sides[holder].process.signal(Signal::SIGSTOP);
@@ -53,40 +52,43 @@
         caller::send(request(), &body)
     });
     assert!(answer.replayed);
-    caller::assert_whole(&answer.text, "draft", 4);
+    caller::assert_complete(&answer.text, "draft", 4);
     assert_eq!(fleet.engine_runs(), 1, "one run");
 }
 
-/// The side, and with it the only way to the endpoint, dies after the first token. A spliced or
-/// silently shortened answer would be taken for the whole one.
+/// The side, which is the only access to the endpoint, dies after the first token. Guards against a
+/// spliced or silently truncated answer that looks complete.
 #[test]
-fn stream_says_that_it_ended_early_when_its_side_dies() {
-    let mut fleet = Fleet::start(Shape { engines: 1, token_ms: 30, ..Shape::default() });
+fn stream_ends_with_an_error_when_its_side_dies() {
+    let mut fleet =
+        Fleet::start(FleetOptions { engines: 1, token_ms: 30, ..FleetOptions::default() });
     let key = fleet.grant("court");
     let body = caller::chat_body("lost", 400, true);
-    let reading = Reading::open(caller::chat(&fleet.entries[0], &key), &body);
+    let reading = StreamReader::open(caller::chat(&fleet.entries[0], &key), &body);
     fleet.sides[0].process.kill();
     let text = reading.rest();
     assert!(text.contains("event: error") && text.contains("link_lost"), "{text}");
     assert!(text.contains("\"ran\":\"unknown\""), "{text}");
 }
 
-/// An engine dies in the middle of an answer and closes its connection like one that is done.
+/// An engine dies in the middle of an answer, and its connection closes as after a complete answer. Guards
+/// against a truncated answer that looks complete.
 #[test]
-fn stream_says_that_it_ended_early_when_its_engine_dies() {
-    let mut fleet = Fleet::start(Shape { engines: 1, token_ms: 30, ..Shape::default() });
+fn stream_ends_with_an_error_when_its_engine_dies() {
+    let mut fleet =
+        Fleet::start(FleetOptions { engines: 1, token_ms: 30, ..FleetOptions::default() });
     let key = fleet.grant("court");
     let body = caller::chat_body("lost", 400, true);
-    let reading = Reading::open(caller::chat(&fleet.entries[0], &key), &body);
+    let reading = StreamReader::open(caller::chat(&fleet.entries[0], &key), &body);
     fleet.engines[0].process.kill();
     let text = reading.rest();
     assert!(text.contains("event: error") && text.contains("endpoint_failed"), "{text}");
 }
 
-/// An engine that marks the end of its answer only by closing the connection dies: its close looks
-/// like the end. Only the missing closing event tells that the answer is not whole.
+/// An engine that marks the end of its answer only by closing the connection dies, and its close looks like
+/// the end. Guards against a truncated answer: only the missing closing event shows that it is incomplete.
 #[test]
-fn closed_connection_without_the_closing_event_is_no_whole_answer() {
+fn answer_without_its_closing_event_ends_with_an_error() {
     let engine = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let url = format!("http://{}", engine.local_addr().expect("bound"));
     std::thread::spawn(move || {
@@ -100,10 +102,11 @@
             let _ = stream.write_all(format!("{head}data: {token}\n\n").as_bytes());
         }
     });
-    let mut fleet = Fleet::start(Shape { entries: 1, engines: 0, ..Shape::default() });
+    let mut fleet =
+        Fleet::start(FleetOptions { entries: 1, engines: 0, ..FleetOptions::default() });
     let side = fleet.spawn_side("side-closing", "juru-tulis", &url);
     fleet.sides.push(side);
-    fleet.wait_until_whole();
+    fleet.wait_until_connected();
     let key = fleet.grant("court");
     let request = caller::chat(&fleet.entries[0], &key);
     let answer = caller::send(request, &caller::chat_body("half", 5, true));
@@ -111,40 +114,40 @@
     assert!(!caller::stream_tokens(&answer.text).1, "{}", answer.text);
 }
 
-/// A side dies while its engine still reads the prompt. No byte has reached the caller, so another
-/// endpoint answers and the caller notices nothing but the time.
+/// A side dies during the prefill of its engine. Guards against a failed request although no byte has reached
+/// the caller yet, so that another endpoint can answer.
 #[test]
 fn request_moves_to_another_endpoint_before_its_first_token() {
-    let mut fleet = Fleet::start(Shape::default());
+    let mut fleet = Fleet::start(FleetOptions::default());
     let key = fleet.grant("court");
-    // A prompt this long takes the stand-in engine the better part of a second to read.
+    // The stand-in engine needs most of a second for the prefill of a prompt of this length.
     let prompt = "x".repeat(80_000);
     let body = caller::chat_body(&prompt, 4, true);
     let request = caller::chat(&fleet.entries[0], &key);
     let sent = std::thread::spawn(move || caller::send(request, &body));
-    let busy = fleet::wait_for("an engine has the request", || {
+    let busy = fleet::wait_for("an engine runs the request", || {
         fleet.engines.iter().position(|engine| engine.record()["running"] == json!(1))
     });
     fleet.sides[busy].process.kill();
     let answer = sent.join().expect("no panic");
-    caller::assert_whole(&answer.text, &prompt, 4);
+    caller::assert_complete(&answer.text, &prompt, 4);
 }
 
-/// A side is frozen, as by a stalled host: its port is open and nothing answers. Requests that kept
-/// going there would hang until their deadline.
+/// A side is suspended, as on a stalled host: its port is open but it doesn't answer. Guards against requests
+/// that are still sent there and hang until their deadline.
 #[test]
 fn frozen_side_gets_no_requests() {
-    let fleet = Fleet::start(Shape::default());
+    let fleet = Fleet::start(FleetOptions::default());
     let key = fleet.grant("court");
     fleet.sides[0].process.signal(Signal::SIGSTOP);
     for number in 0..20 {
         let prompt = format!("while frozen {number}");
         let request = caller::chat(&fleet.entries[0], &key);
         let answer = caller::send(request, &caller::chat_body(&prompt, 2, true));
-        caller::assert_whole(&answer.text, &prompt, 2);
+        caller::assert_complete(&answer.text, &prompt, 2);
     }
     fleet.sides[0].process.signal(Signal::SIGCONT);
-    fleet::wait_for("it gets requests again", || {
+    fleet::wait_for("the resumed side gets requests again", || {
         let prompt = format!("woken {:x}", rand::random::<u32>());
         let request = caller::chat(&fleet.entries[0], &key);
         caller::send(request, &caller::chat_body(&prompt, 1, true));
@@ -153,11 +156,11 @@
     });
 }
 
-/// The only side stalls for a moment, as under a burst of load or while its host is busy, and lets
-/// the first asks go unanswered. Callers would be refused though the endpoint is there.
+/// The only side stalls briefly, as under a burst of load or on a busy host, and doesn't answer the
+/// first asks. Guards against refused requests although the endpoint is available.
 #[test]
-fn brief_stall_of_the_only_side_costs_time_and_no_answer() {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 1, ..Shape::default() });
+fn brief_stall_of_the_only_side_fails_no_request() {
+    let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
     let key = fleet.grant("court");
     for number in 0..5 {
         let prompt = format!("stalled {number}");
@@ -173,35 +176,47 @@
             fleet.sides[0].process.signal(Signal::SIGCONT);
             sent.join().expect("no panic")
         });
-        caller::assert_whole(&answer.text, &prompt, 2);
+        caller::assert_complete(&answer.text, &prompt, 2);
     }
 }
 
-/// One caller opens a long answer and does not read it. Without credit of its own for each stream,
-/// its bytes would fill the shared link and every other caller of that link would wait behind it.
+/// One caller opens a long answer and does not read it. Guards against head-of-line blocking: without
+/// separate credit for each stream its bytes would fill the shared link, and all other callers would
+/// wait.
 #[test]
 fn slow_caller_blocks_no_other() {
-    let fleet = Fleet::start(Shape { entries: 1, engines: 1, token_ms: 0, ..Shape::default() });
+    let fleet = Fleet::start(FleetOptions {
+        entries: 1,
+        engines: 1,
+        token_ms: 0,
+        ..FleetOptions::default()
+    });
     let key = fleet.grant("court");
     let entry = &fleet.entries[0];
-    let slow = Reading::open(caller::chat(entry, &key), &caller::chat_body("slow", 150_000, true));
+    let slow =
+        StreamReader::open(caller::chat(entry, &key), &caller::chat_body("slow", 150_000, true));
     for number in 0..50 {
         let prompt = format!("quick {number}");
         let answer = caller::send(caller::chat(entry, &key), &caller::chat_body(&prompt, 20, true));
-        caller::assert_whole(&answer.text, &prompt, 20);
+        caller::assert_complete(&answer.text, &prompt, 20);
     }
-    caller::assert_whole(&slow.rest(), "slow", 150_000);
+    caller::assert_complete(&slow.rest(), "slow", 150_000);
 }
 
-/// Thousands of streams share a few links; each is checked token by token, and tokens follow from
-/// the prompt, so one that strayed from another stream would be noticed.
+/// Guards against tokens that reach the wrong one of thousands of streams on a few links. Tokens are derived
+/// from the prompt, so each stream is checked token by token.
 #[test]
-fn thousands_of_streams_share_links_and_stay_apart() {
-    let mut shape =
-        Shape { entries: 1, engines: 2, token_ms: 5, engine_slots: 2000, ..Shape::default() };
-    shape.config["services"]["juru-tulis"]["slots"] = 2000.into();
-    shape.config["services"]["juru-tulis"]["max_queue"] = 4000.into();
-    let fleet = Fleet::start(shape);
+fn streams_that_share_links_do_not_mix() {
+    let mut options = FleetOptions {
+        entries: 1,
+        engines: 2,
+        token_ms: 5,
+        engine_slots: 2000,
+        ..FleetOptions::default()
+    };
+    options.config["services"]["juru-tulis"]["slots"] = 2000.into();
+    options.config["services"]["juru-tulis"]["max_queue"] = 4000.into();
+    let fleet = Fleet::start(options);
     let key = fleet.grant("court");
     let plan = std::env::temp_dir().join(format!("briarwinch-plan-{}.jsonc", std::process::id()));
     let line = json!({"class": "lookup", "share": 1, "target_ms": 5000, "kind": "chat",
