--- a/tests/properties/answers.rs
+++ b/tests/properties/answers.rs
@@ -1,5 +1,5 @@
-//! Answers kept by a side: pieces by offset, credit, late and crossed readers; and the budget of
-//! retries.
+//! Property tests of the answers kept by a side (offsets, credit, resumed readers), of token counting, and of
+//! the token and retry budgets.
 
 use briarwinch::admission::{Budgets, part_per_s};
 use briarwinch::answer::{Answer, Ending, Reader, Top};
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Step {
     Push {
         bytes: Vec<u8>,
     },
@@ -17,31 +17,31 @@
         bytes: u64,
     },
     Read,
-    /// The link is lost; the reader comes back at the offset it has received.
-    Return,
+    /// The link is lost, and the reader resumes at the offset that it has received.
+    Resume,
     LetGo {
         behind: u64,
     },
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
-        prop::collection::vec(any::<u8>(), 0..40_000).prop_map(|bytes| Act::Push { bytes }),
-        (0..60_000_u64).prop_map(|bytes| Act::Credit { bytes }),
-        Just(Act::Read),
-        Just(Act::Return),
-        (0..10_000_u64).prop_map(|behind| Act::LetGo { behind }),
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let step = prop_oneof![
+        prop::collection::vec(any::<u8>(), 0..40_000).prop_map(|bytes| Step::Push { bytes }),
+        (0..60_000_u64).prop_map(|bytes| Step::Credit { bytes }),
+        Just(Step::Read),
+        Just(Step::Resume),
+        (0..10_000_u64).prop_map(|behind| Step::LetGo { behind }),
     ];
-    prop::collection::vec(act, 1..60)
+    prop::collection::vec(step, 1..60)
 }
 
 proptest! {
     #![proptest_config(crate::cases(300))]
 
-    /// Links are lost and readers come back at any moment, slow readers give little credit. The
-    /// bytes received are the bytes sent, each once and in order, and never beyond the credit.
+    /// Guards against lost, repeated or reordered bytes and exceeded credit when links are lost and readers
+    /// resume at any moment, and slow readers grant little credit.
     #[test]
-    fn reader_gets_every_byte_once(acts in acts()) {
+    fn reader_gets_every_byte_once(steps in steps()) {
         let mut answer = Answer::default();
         answer.top = Some(Top { status: 200, headers: Vec::new() });
         let mut sent: Vec<u8> = Vec::new();
@@ -57,24 +57,24 @@
                 }
             }
         };
-        for act in acts {
-            match act {
-                Act::Push { bytes } => {
+        for step in steps {
+            match step {
+                Step::Push { bytes } => {
                     answer.push(&bytes);
                     sent.extend_from_slice(&bytes);
                 }
-                Act::Credit { bytes } => {
+                Step::Credit { bytes } => {
                     reader.credit_bytes += bytes;
                     allowed += bytes;
                 }
-                Act::Read => read(&mut reader, &answer, &mut received),
-                Act::Return => {
+                Step::Read => read(&mut reader, &answer, &mut received),
+                Step::Resume => {
                     let offset = received.len() as u64;
                     prop_assert!(answer.reaches_back_to(offset));
                     reader = Reader::new(stream, offset, 500);
                     allowed = offset + 500;
                 }
-                Act::LetGo { behind } => {
+                Step::LetGo { behind } => {
                     answer.let_go((received.len() as u64).saturating_sub(behind));
                 }
             }
@@ -88,7 +88,7 @@
         prop_assert_eq!(sent, received);
     }
 
-    /// Tokens are counted alike however the stream is cut into pieces.
+    /// Guards against a token count that depends on how the stream is split into chunks.
     #[test]
     fn tokens_are_counted_in_any_pieces(
         events in prop::collection::vec(prop_oneof![
@@ -103,35 +103,36 @@
         let mut rest = text.as_bytes();
         for cut in cuts.iter().cycle() {
             if rest.is_empty() { break; }
-            let (piece, left) = rest.split_at((*cut).min(rest.len()));
-            counter.push(piece);
-            rest = left;
+            let (chunk, remaining) = rest.split_at((*cut).min(rest.len()));
+            counter.push(chunk);
+            rest = remaining;
         }
         prop_assert_eq!(counter.tokens(), tokens);
         prop_assert!(counter.is_done());
     }
 
-    /// An account sends as fast as it can through several entries, each of which knows only its own
-    /// part. All together let through the account's rate, and what the requests under way cost more.
+    /// An account sends as fast as it can through several entries, each of which knows only its own share of
+    /// the rate. Guards against more tokens in total than the account's rate plus the excess of the requests
+    /// in progress.
     #[test]
     fn accounts_stay_within_their_token_rate(
         costs in prop::collection::vec((1..3000_u64, 0..400_u64, 0..4_usize), 50..400),
         rate_per_s in 100..5000_u32,
     ) {
         let mut entries = vec![Budgets::default(); 4];
-        let part = part_per_s(rate_per_s, 4, 1);
+        let share = part_per_s(rate_per_s, 4, 1);
         let (mut now_ms, mut spent, mut largest) = (0, 0, 0);
         for (cost, pause_ms, entry) in costs {
             now_ms += pause_ms;
-            match entries[entry].admit("account", part, now_ms) {
+            match entries[entry].admit("account", share, now_ms) {
                 Ok(()) => {
-                    entries[entry].charge("account", part, cost, now_ms);
+                    entries[entry].charge("account", share, cost, now_ms);
                     spent += cost;
                     largest = largest.max(cost);
                 }
                 Err(wait_ms) => {
                     let later_ms = now_ms + u64::from(wait_ms) + 1;
-                    prop_assert!(entries[entry].clone().admit("account", part, later_ms).is_ok());
+                    prop_assert!(entries[entry].clone().admit("account", share, later_ms).is_ok());
                 }
             }
             let earned = f64::from(rate_per_s) * (5.0 + now_ms as f64 / 1000.0);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// A third of the endpoints die and every request fails. Retries stay under their share, else
-    /// the survivors would get a multiple of their load.
+    /// Guards against retries beyond their share when a third of the endpoints die and every request
+    /// fails: the remaining endpoints would get a multiple of their load.
     #[test]
     fn retries_stay_within_their_budget(failures in prop::collection::vec(any::<bool>(), 1..3000)) {
         let mut budget = Budget::default();
