--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -1,4 +1,4 @@
-//! Any bytes, to whatever reads bytes: no panic, and memory within its bounds.
+//! Property tests of all parsers with arbitrary bytes: no panic, and memory within its limits.
 
 use briarwinch::config::Config;
 use briarwinch::seal::{self, Opener, Sealer, Secret};
@@ -9,7 +9,7 @@
     Secret::fleet("a secret of the tests")
 }
 
-/// A text near enough to the real thing to get past the first checks.
+/// Generates texts that are similar enough to valid ones to pass the first checks.
 fn near_text() -> impl Strategy<Value = String> {
     let word = prop_oneof![
         Just("{"),
@@ -41,6 +41,7 @@
 proptest! {
     #![proptest_config(crate::cases(3000))]
 
+    /// Guards against a panic on any configuration, settings, request body, trace header or key.
     #[test]
     fn texts_never_panic(text in prop_oneof![near_text(), any::<String>()]) {
         let _ = Config::parse(&text);
@@ -52,12 +53,14 @@
         let _ = keys::id_of(&text);
     }
 
+    /// Guards against a panic on any datagram, and against opening one that was not sealed.
     #[test]
     fn datagrams_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..2000)) {
         prop_assert!(seal::open_datagram::<wire::Datagram>(&secret(), &bytes).is_err());
     }
 
-    /// Frames arrive in any pieces, with any byte changed: what opens is what was sealed, in order.
+    /// Frames arrive in any chunks, with any byte changed. Guards against opening messages other than
+    /// the sealed ones, or in another order.
     #[test]
     fn frames_open_only_as_they_were_sealed(
         messages in prop::collection::vec("[a-z]{0,200}", 1..10),
@@ -89,7 +92,7 @@
         prop_assert_eq!(opened.len() == messages.len(), flip.is_none());
     }
 
-    /// Garbage on a link: refused at the latest when more than the longest frame has come.
+    /// Guards against a link that buffers arbitrary bytes beyond the maximum frame length.
     #[test]
     fn garbage_on_a_link_is_refused(bytes in prop::collection::vec(any::<u8>(), 4..5000)) {
         let mut opener = Opener::new(secret());
@@ -103,7 +106,7 @@
     }
 }
 
-/// A frame of another link, or one played again, does not open.
+/// Guards against a replayed frame, or a frame of another link, that opens.
 #[test]
 fn replayed_frame_does_not_open() {
     let mut bytes = Vec::new();
@@ -118,13 +121,13 @@
     assert_eq!(same.read::<String>(), Err(seal::Reject::Seal));
 }
 
-/// Nested deep enough to overflow a recursive parser's stack.
+/// Guards against input that is nested deeply enough to overflow the stack of a recursive parser.
 #[test]
 fn deep_nesting_is_refused() {
     for open in ["[", "{\"a\":"] {
         let mistake = Config::parse(&open.repeat(100_000)).expect_err("too deep");
         assert!(mistake.sentence.contains("nested deeper"), "{mistake}");
     }
-    // The same for a caller's body, whose parser has a bound of its own.
+    // The parser of request bodies has its own nesting limit.
     assert!(openai::parse("[".repeat(100_000).as_bytes()).is_err());
 }
