--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use briarwinch::spread::Shared;
-use briarwinch::{bound, control, hub, link, membership, seal, settings, wire};
+use briarwinch::{control, hub, link, membership, seal, settings, sockets, wire};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
 
@@ -49,7 +49,7 @@
 
 fn spawn(number: usize, seeds: Vec<SocketAddr>) -> Daemon {
     let mut settings = settings(number, seeds);
-    let sockets = bound::Pair::bind(&mut settings.peer_addr).expect("a free port");
+    let sockets = sockets::TcpUdpPair::bind(&mut settings.peer_addr).expect("a free port");
     let addr = settings.peer_addr;
     let hub = Arc::new(hub::Hub::default());
     let identity = control::Identity {
@@ -136,7 +136,7 @@
 async fn serve_one(addr: SocketAddr, version: u64) {
     let secret = seal::Secret::fleet(SECRET);
     let mut own: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let sockets = bound::Pair::bind(&mut own).expect("a free port");
+    let sockets = sockets::TcpUdpPair::bind(&mut own).expect("a free port");
     let listener = TcpListener::from_std(sockets.tcp).expect("a listener");
     let udp = UdpSocket::from_std(sockets.udp).expect("a socket");
     let mut shared = Shared::default();
--- a/src/control.rs
+++ b/src/control.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
 
-use crate::{bound, duties, hub, membership, platform, seal, settings, spread, store, wire};
+use crate::{duties, hub, membership, platform, seal, settings, sockets, spread, store, wire};
 
 /// Peers told at once when something changed here.
 const RUMOR_PEERS: usize = 3;
@@ -74,7 +74,7 @@
     identity: Identity,
     hub: Arc<hub::Hub>,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
@@ -94,7 +94,7 @@
     identity: Identity,
     hub: Arc<hub::Hub>,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     let control = Rc::new(Control {
         secret: seal::Secret::fleet(&settings.fleet_secret),
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -25,8 +25,8 @@
 use tokio::{task, time};
 
 use crate::{
-    admin, admission, bound, control, explain, hub, logging, membership, metric, placement, retry,
-    seal, settings, spread, trace,
+    admin, admission, control, explain, hub, logging, membership, metric, placement, retry, seal,
+    settings, sockets, spread, trace,
 };
 
 /// How long an idle connection of a caller is kept.
@@ -84,11 +84,11 @@
     };
     let listener = std::net::TcpListener::bind(settings.listen_addr)?;
     settings.listen_addr = listener.local_addr()?;
-    let sockets = bound::Daemon::bind(&mut settings.daemon)?;
+    let sockets = sockets::DaemonSockets::bind(&mut settings.daemon)?;
     let daemon = settings.daemon.clone();
     admin::spawn(&daemon, Arc::clone(&hub), Some(Arc::clone(&ring)), metrics, sockets.admin)?;
     control::spawn(daemon, identity, Arc::clone(&hub), log.clone(), sockets.peer)?;
-    bound::announce(&settings.daemon, settings.listen_addr);
+    sockets::announce(&settings.daemon, settings.listen_addr);
     let common = Arc::new(Common {
         secret: seal::Secret::fleet(&settings.daemon.fleet_secret),
         spans: logging::span_sink(&settings.daemon),
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -20,7 +20,7 @@
 use super::fleet::{datagrams, exchange, members, peers, pulls, recall};
 use super::policy::budget;
 use super::{directory, evacuation, request, route, shared, watch};
-use crate::{bound, clock, lease, seal, store};
+use crate::{clock, lease, seal, sockets, store};
 
 /// What is followed in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -160,7 +160,7 @@
     shared: Arc<shared::Shared>,
     platform: impl FnOnce() -> P + Send + 'static,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
@@ -178,7 +178,7 @@
     shared: Arc<shared::Shared>,
     platform: impl FnOnce() -> P,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     let listener = TcpListener::from_std(sockets.tcp)?;
     let control = Rc::new(Control {
--- a/src/side/mod.rs
+++ b/src/side/mod.rs
@@ -26,8 +26,8 @@
 use tokio::{task, time};
 
 use crate::{
-    admin, bound, claims, control, error, hub, logging, membership, metric, platform, seal,
-    settings, trace, wire,
+    admin, claims, control, error, hub, logging, membership, metric, platform, seal, settings,
+    sockets, trace, wire,
 };
 
 /// Connections to an endpoint at most; above any number of slots.
@@ -70,8 +70,8 @@
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
     let metrics = metric::install()?;
-    let work = bound::Pair::bind(&mut settings.work_addr)?;
-    let sockets = bound::Daemon::bind(&mut settings.daemon)?;
+    let work = sockets::TcpUdpPair::bind(&mut settings.work_addr)?;
+    let sockets = sockets::DaemonSockets::bind(&mut settings.daemon)?;
     let boot = rand::random();
     let identity = control::Identity {
         role: membership::Role::Side,
@@ -89,7 +89,7 @@
     let daemon = settings.daemon.clone();
     admin::spawn(&daemon, Arc::clone(&hub), None, metrics, sockets.admin)?;
     control::spawn(daemon, identity, Arc::clone(&hub), log.clone(), sockets.peer)?;
-    bound::announce(&settings.daemon, settings.work_addr);
+    sockets::announce(&settings.daemon, settings.work_addr);
     let side = open(settings, Arc::clone(&hub), log, boot).await?;
     task::spawn_local(asks::serve(Rc::clone(&side), UdpSocket::from_std(work.udp)?));
     task::spawn_local(entries::serve(Rc::clone(&side), TcpListener::from_std(work.tcp)?));
--- a/src/bound.rs
+++ b/src/sockets.rs
@@ -13,12 +13,12 @@
 
 /// A TCP and a UDP socket on the same port.
 #[derive(Debug)]
-pub struct Pair {
+pub struct TcpUdpPair {
     pub tcp: TcpListener,
     pub udp: UdpSocket,
 }
 
-impl Pair {
+impl TcpUdpPair {
     /// Binds both to the address; stores the port chosen, if any, back into it.
     ///
     /// # Errors
@@ -47,18 +47,18 @@
 
 /// The sockets that every daemon has.
 #[derive(Debug)]
-pub struct Daemon {
-    pub peer: Pair,
+pub struct DaemonSockets {
+    pub peer: TcpUdpPair,
     pub admin: TcpListener,
 }
 
-impl Daemon {
+impl DaemonSockets {
     /// Binds them; stores the ports chosen back into the settings.
     ///
     /// # Errors
     /// When an address is in use or not of this machine.
     pub fn bind(settings: &mut settings::Daemon) -> io::Result<Self> {
-        let peer = Pair::bind(&mut settings.peer_addr)?;
+        let peer = TcpUdpPair::bind(&mut settings.peer_addr)?;
         let admin = TcpListener::bind(settings.admin_addr)?;
         settings.admin_addr = admin.local_addr()?;
         Ok(Self { peer, admin })
--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use briarwinch::{bound, control, hub, link, membership, platform, seal, settings, wire};
+use briarwinch::{control, hub, link, membership, platform, seal, settings, sockets, wire};
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task;
@@ -62,8 +62,8 @@
 async fn serve(mut settings: settings::Daemon, manner: Manner, taken_up: Arc<AtomicU32>) {
     let secret = seal::Secret::fleet(&settings.fleet_secret);
     let mut work_addr = "127.0.0.1:0".parse().expect("an address");
-    let work = bound::Pair::bind(&mut work_addr).expect("a free port");
-    let peer = bound::Pair::bind(&mut settings.peer_addr).expect("a free port");
+    let work = sockets::TcpUdpPair::bind(&mut work_addr).expect("a free port");
+    let peer = sockets::TcpUdpPair::bind(&mut settings.peer_addr).expect("a free port");
     let endpoint = membership::Endpoint { id: "fake".into(), service: "juru-tulis".into() };
     let identity = control::Identity {
         role: membership::Role::Side,
