--- a/src/duties.rs
+++ b/src/duties.rs
@@ -14,7 +14,7 @@
 use tokio::{task, time};
 use xxhash_rust::xxh3;
 
-use crate::{billing, contest, control, lease, membership, scaler};
+use crate::{billing, control, lease, lease_io, membership, scaler};
 
 /// Entries that contend for a duty.
 const CONTENDERS: usize = 2;
@@ -166,12 +166,12 @@
         }
         match contender.step(control.hub.now_ms()) {
             lease::Step::Read => {
-                let read = contest::read(&control.platform, &mut contender, &key, clock).await;
+                let read = lease_io::read(&control.platform, &mut contender, &key, clock).await;
                 control.store_answered(&read);
             }
             lease::Step::Write(write) => {
                 let written =
-                    contest::write(&control.platform, &mut contender, &key, &write, clock).await;
+                    lease_io::write(&control.platform, &mut contender, &key, &write, clock).await;
                 control.store_answered(&written);
             }
             lease::Step::WaitUntil(at_ms) => {
--- a/src/gateway/duties/duty.rs
+++ b/src/gateway/duties/duty.rs
@@ -9,7 +9,7 @@
 use crate::gateway::control::{Control, Platform};
 use crate::gateway::duties::{billing, scaling};
 use crate::gateway::fleet::peers;
-use crate::{clock, contest, lease};
+use crate::{clock, lease, lease_io};
 
 const LEASE_KEY: &str = "briarwinch-leases/duties";
 /// Terms of the duties. A usage report is due ten seconds after its window, a holder's death in
@@ -140,7 +140,7 @@
 }
 
 async fn read<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
-    let read = contest::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
+    let read = lease_io::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
     let is_read = read.is_ok();
     if control.reads_lease.replace(is_read) != is_read {
         slog::info!(control.log, "lease"; "readable" => is_read,
@@ -154,7 +154,7 @@
     write: lease::Write,
 ) {
     if let Err(failure) =
-        contest::write(&control.platform, contender, LEASE_KEY, &write, clock::boot_ms).await
+        lease_io::write(&control.platform, contender, LEASE_KEY, &write, clock::boot_ms).await
     {
         slog::info!(control.log, "lease not written"; "epoch" => write.record.epoch.0,
             "term_ms" => write.record.term_ms, "failure" => failure.to_string());
