--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -4,8 +4,8 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
+use briarwinch::latency::LatencyEstimator;
 use briarwinch::membership::Place;
-use briarwinch::pace::Pace;
 use briarwinch::placement::{self, Silent, Target};
 use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
 use briarwinch::retry::Budget;
@@ -79,7 +79,7 @@
 struct Endpoint {
     engine: Engine,
     waiting: Waiting,
-    pace: Pace,
+    latency: LatencyEstimator,
     runs: HashMap<u64, Run>,
     place: Place,
     standing: Standing,
@@ -183,7 +183,7 @@
         self.endpoints.push(Endpoint {
             engine: Engine::new(1.0),
             waiting,
-            pace: Pace::default(),
+            latency: LatencyEstimator::default(),
             runs: HashMap::new(),
             place: Place {
                 work_addr,
@@ -339,11 +339,11 @@
                 jobs.iter().filter(before).count()
             }
         };
-        let wait_ms = endpoint.pace.wait_ms(ahead, endpoint.engine.running, SLOTS);
+        let wait_ms = endpoint.latency.wait_ms(ahead, endpoint.engine.running, SLOTS);
         Some(wire::Offer {
             nonce: 0,
             endpoint: wire::EndpointIndex(0),
-            first_token_ms: wait_ms.saturating_add(endpoint.pace.start_ms(self.now_ms)),
+            first_token_ms: wait_ms.saturating_add(endpoint.latency.start_ms(self.now_ms)),
             leaving: false,
             knows_prefix: endpoint.heads.contains(&request.head),
             holds_answer: false,
@@ -364,7 +364,7 @@
             self.own[of.entry][number] -= 1;
             return self.fail(request);
         }
-        let output = endpoint.pace.output_tokens(8_000);
+        let output = endpoint.latency.output_tokens(8_000);
         let job = Job {
             id: request as u64,
             class: config::ClassKey(of.class as u16),
@@ -453,7 +453,7 @@
             return;
         };
         run.first_ms = Some(now_ms);
-        endpoint.pace.first_token(now_ms - run.began_ms, now_ms);
+        endpoint.latency.first_token(now_ms - run.began_ms, now_ms);
         self.requests[run.request].first_ms = Some(now_ms);
     }
 
@@ -466,7 +466,7 @@
         endpoint.engine.running -= 1;
         let of = &mut self.requests[run.request];
         of.whole = true;
-        endpoint.pace.finished(now_ms - run.began_ms, of.output);
+        endpoint.latency.finished(now_ms - run.began_ms, of.output);
         if let (Some(started), Waiting::Router(queue)) = (run.started, &mut endpoint.waiting) {
             queue.finish(started, u64::from(of.prompt_tokens) + of.output);
         }
--- a/src/pace.rs
+++ b/src/latency.rs
@@ -16,7 +16,7 @@
 
 /// Moving averages over the requests of one endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LatencyEstimator {
     service_ms: f64,
     start_ms: f64,
     /// When the last first token came; `None`: none yet.
@@ -24,7 +24,7 @@
     output_tokens: f64,
 }
 
-impl Default for Pace {
+impl Default for LatencyEstimator {
     fn default() -> Self {
         Self {
             service_ms: FIRST_SERVICE_MS,
@@ -35,7 +35,7 @@
     }
 }
 
-impl Pace {
+impl LatencyEstimator {
     /// A request's first token came this long after it was sent to the endpoint.
     pub fn first_token(&mut self, after_ms: u64, now_ms: u64) {
         let weight = if self.start_seen_ms.is_some() { NEWEST } else { 1.0 };
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use crate::{config, lease, orders, pace, queue, settings, spread};
+use crate::{config, latency, lease, orders, queue, settings, spread};
 
 /// Prompt heads remembered as served lately.
 const PREFIXES: usize = 1024;
@@ -52,7 +52,7 @@
     version: Cell<u64>,
     slots: Cell<usize>,
     pub running: Cell<usize>,
-    pub pace: RefCell<pace::Pace>,
+    pub latency: RefCell<latency::LatencyEstimator>,
     pub prefixes: RefCell<Prefixes>,
     fence: RefCell<orders::Fence>,
     /// Until when it takes no new work, by order; an order that is not repeated runs out, so that
@@ -74,7 +74,7 @@
             version: Cell::new(0),
             slots: Cell::new(1),
             running: Cell::new(0),
-            pace: RefCell::default(),
+            latency: RefCell::default(),
             prefixes: RefCell::default(),
             fence: RefCell::default(),
             drains_until_ms: Cell::new(0),
@@ -133,7 +133,9 @@
         now_ms: u64,
     ) -> u32 {
         let ahead = self.queue.borrow().ahead_of(class, account, share);
-        let pace = self.pace.borrow();
-        pace.wait_ms(ahead, self.running.get(), self.slots()).saturating_add(pace.start_ms(now_ms))
+        let latency = self.latency.borrow();
+        latency
+            .wait_ms(ahead, self.running.get(), self.slots())
+            .saturating_add(latency.start_ms(now_ms))
     }
 }
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -212,7 +212,7 @@
         let run = self.insert(submit, outbox, now_ms);
         let give_up_at_ms =
             longest_wait_ms.map_or(run.deadline_ms, |most| run.deadline_ms.min(now_ms + most));
-        let output = endpoint.pace.borrow().output_tokens(run.submit.max_tokens);
+        let output = endpoint.latency.borrow().output_tokens(run.submit.max_tokens);
         let job = queue::Job {
             id: slotmap::Key::data(&run.key).as_ffi(),
             class,
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -60,7 +60,7 @@
     }
     if outcome.is_ok() {
         let service_ms = side.now_ms() - begin_ms;
-        endpoint.pace.borrow_mut().finished(service_ms, output_tokens);
+        endpoint.latency.borrow_mut().finished(service_ms, output_tokens);
     }
     if !run.sent.get() {
         return;
@@ -349,7 +349,7 @@
     if let Some(endpoint) = side.endpoint(run.submit.endpoint) {
         let now_ms = side.now_ms();
         let after_ms = now_ms - sent_ms;
-        endpoint.pace.borrow_mut().first_token(after_ms, now_ms);
+        endpoint.latency.borrow_mut().first_token(after_ms, now_ms);
     }
 }
 
