--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -6,7 +6,7 @@
 
 use briarwinch::latency::LatencyEstimator;
 use briarwinch::membership::Place;
-use briarwinch::placement::{self, Silent, Target};
+use briarwinch::placement::{self, Backoffs, Target};
 use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
 use briarwinch::retry::Budget;
 use briarwinch::scaling::{Plan, Planner, Seen};
@@ -102,7 +102,7 @@
     random: StdRng,
     turn: usize,
     own: Vec<Vec<usize>>,
-    silent: Vec<Silent>,
+    silent: Vec<Backoffs>,
     budget: Vec<Budget>,
     planner: Planner,
     endpoint_ms: u64,
@@ -147,7 +147,7 @@
             random: StdRng::seed_from_u64(seed ^ 0xbeef),
             turn: 0,
             own: vec![vec![0; 64]; ENTRIES],
-            silent: vec![Silent::default(); ENTRIES],
+            silent: vec![Backoffs::default(); ENTRIES],
             budget: vec![Budget::default(); ENTRIES],
             planner: Planner::default(),
             endpoint_ms: 0,
@@ -296,7 +296,7 @@
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
         let silent = &self.silent[entry];
-        let avoid = |target: Target| silent.is_silent(target, now_ms);
+        let avoid = |target: Target| silent.is_backed_off(target, now_ms);
         let picked = placement::pick(&places, &zone, head, ASK_WIDTH, avoid, &mut self.random);
         let numbers: Vec<usize> = picked
             .iter()
@@ -308,9 +308,9 @@
         for number in numbers {
             let target = Target::of(&self.endpoints[number].place);
             match self.offer(number, request) {
-                None => self.silent[entry].missed(target, now_ms),
+                None => self.silent[entry].record_timeout(target, now_ms),
                 Some(offer) => {
-                    self.silent[entry].answered(target);
+                    self.silent[entry].record_answer(target);
                     let same = self.endpoints[number].place.zone == zone.as_str();
                     let cost = placement::cost_ms(&offer, same);
                     if best.is_none_or(|(least, _)| cost < least) {
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -97,7 +97,7 @@
         self.asks.pending.borrow_mut().retain(|_, pending| {
             let late = now_ms > pending.late_at_ms;
             if late {
-                silent.missed(pending.target, now_ms);
+                silent.record_timeout(pending.target, now_ms);
                 metrics::counter!("briarwinch_asks_unanswered_total").increment(1);
             }
             !late
@@ -108,7 +108,7 @@
         let Some(pending) = self.asks.pending.borrow_mut().remove(&offer.nonce) else {
             return;
         };
-        self.silent.borrow_mut().answered(pending.target);
+        self.silent.borrow_mut().record_answer(pending.target);
         pending.round.offers.borrow_mut().push(Answered { target: pending.target, offer });
         pending.round.arrived.notify_one();
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -56,7 +56,7 @@
     common: Arc<Common>,
     links: links::Links,
     asks: asks::Asks,
-    silent: RefCell<placement::Silent>,
+    silent: RefCell<placement::Backoffs>,
     budget: RefCell<retry::Budget>,
     /// Token budgets of the accounts that have one.
     budgets: RefCell<admission::Budgets>,
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -75,7 +75,7 @@
                 attempt.outcome = refusal.kind.answer().code.into();
                 story.attempts.push(attempt);
                 if refusal.kind == error::Kind::LinkLost {
-                    worker.silent.borrow_mut().missed(target, worker.now_ms());
+                    worker.silent.borrow_mut().record_timeout(target, worker.now_ms());
                 }
                 let again = refusal.may_try_other(request.repeatable);
                 last = Some(keep_unknown(last, refusal));
@@ -213,8 +213,9 @@
 ) -> Vec<&'a membership::Place> {
     let now_ms = worker.now_ms();
     let silent = worker.silent.borrow();
-    let avoid =
-        |target| tried.contains(&target) || (without_silent && silent.is_silent(target, now_ms));
+    let avoid = |target| {
+        tried.contains(&target) || (without_silent && silent.is_backed_off(target, now_ms))
+    };
     // With an idempotency key the answer may be held somewhere already: all are asked.
     let width = match request.idempotency {
         Some(_) => MAX_HOLDERS_ASKED,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -36,21 +36,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Silence {
+struct Backoff {
     until_ms: u64,
     length_ms: u64,
 }
 
 /// Endpoints that did not answer lately.
 #[derive(Clone, Debug, Default)]
-pub struct Silent {
-    targets: HashMap<Target, Silence>,
+pub struct Backoffs {
+    targets: HashMap<Target, Backoff>,
 }
 
-impl Silent {
+impl Backoffs {
     /// The endpoint did not answer an ask, or its link broke.
-    pub fn missed(&mut self, target: Target, now_ms: u64) {
-        let silence = self.targets.entry(target).or_insert(Silence { until_ms: 0, length_ms: 0 });
+    pub fn record_timeout(&mut self, target: Target, now_ms: u64) {
+        let silence = self.targets.entry(target).or_insert(Backoff { until_ms: 0, length_ms: 0 });
         if silence.until_ms > now_ms {
             return;
         }
@@ -59,12 +59,12 @@
     }
 
     /// The endpoint answered.
-    pub fn answered(&mut self, target: Target) {
+    pub fn record_answer(&mut self, target: Target) {
         self.targets.remove(&target);
     }
 
     #[must_use]
-    pub fn is_silent(&self, target: Target, now_ms: u64) -> bool {
+    pub fn is_backed_off(&self, target: Target, now_ms: u64) -> bool {
         self.targets.get(&target).is_some_and(|silence| silence.until_ms > now_ms)
     }
 }
