--- a/src/admission.rs
+++ b/src/admission.rs
@@ -61,6 +61,6 @@
 
 /// The part of an account's rate that one of `threads` threads of one of `entries` entries holds.
 #[must_use]
-pub fn part_per_s(rate_per_s: u32, entries: usize, threads: usize) -> f64 {
+pub fn thread_rate_per_s(rate_per_s: u32, entries: usize, threads: usize) -> f64 {
     f64::from(rate_per_s) / (entries.max(1) * threads.max(1)) as f64
 }
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -196,7 +196,7 @@
     let active = Active::begin(worker, &account.name, most)
         .ok_or_else(|| refuse(error::Kind::AccountLimit).retry_after_ms(1_000))?;
     let tokens_per_s = account.tokens_per_s.map(|rate_per_s| {
-        admission::part_per_s(rate_per_s, snapshot.entries, worker.common.settings.workers)
+        admission::thread_rate_per_s(rate_per_s, snapshot.entries, worker.common.settings.workers)
     });
     if let Some(rate_per_s) = tokens_per_s {
         let admitted = worker.budgets.borrow_mut().admit(&account.name, rate_per_s, arrived_ms);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -41,6 +41,6 @@
 
 /// Most retries that `requests` requests can cause.
 #[must_use]
-pub fn most_retries(requests: u64) -> u64 {
+pub fn max_retries(requests: u64) -> u64 {
     (CAP_MILLI + requests * EARNED_MILLI) / SPENT_MILLI
 }
--- a/tests/properties/answers.rs
+++ b/tests/properties/answers.rs
@@ -1,9 +1,9 @@
 //! Answers kept by a side: pieces by offset, credit, late and crossed readers; and the budget of
 //! retries.
 
-use briarwinch::admission::{Budgets, part_per_s};
+use briarwinch::admission::{Budgets, thread_rate_per_s};
 use briarwinch::answer::{Answer, Ending, Reader, Top};
-use briarwinch::retry::{Budget, most_retries};
+use briarwinch::retry::{Budget, max_retries};
 use briarwinch::sse::Counter;
 use briarwinch::wire::{StreamId, ToEntry};
 use proptest::prelude::*;
@@ -119,7 +119,7 @@
         rate_per_s in 100..5000_u32,
     ) {
         let mut entries = vec![Budgets::default(); 4];
-        let part = part_per_s(rate_per_s, 4, 1);
+        let part = thread_rate_per_s(rate_per_s, 4, 1);
         let (mut now_ms, mut spent, mut largest) = (0, 0, 0);
         for (cost, pause_ms, entry) in costs {
             now_ms += pause_ms;
@@ -148,7 +148,7 @@
         for (number, failed) in (1_u64..).zip(failures) {
             budget.earn();
             retries += u64::from(failed && budget.spend());
-            prop_assert!(retries <= most_retries(number));
+            prop_assert!(retries <= max_retries(number));
         }
     }
 }
