--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -9,7 +9,7 @@
 use briarwinch::placement::{self, Backoffs, Target};
 use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
 use briarwinch::retry::Budget;
-use briarwinch::scaling::{Plan, Planner, Seen};
+use briarwinch::scaling::{Observation, Plan, Planner};
 use briarwinch::{config, wire};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -218,7 +218,7 @@
             Happens::Deaths => self.deaths(),
             Happens::Up(endpoint) => {
                 self.endpoints[endpoint].standing = Standing::Up;
-                self.planner.came_up(self.now_ms);
+                self.planner.endpoint_started(self.now_ms);
             }
             Happens::Look => self.look(),
             Happens::Report => self.report(),
@@ -526,7 +526,7 @@
             .collect();
         let is_starting = |endpoint: &&Endpoint| endpoint.standing == Standing::Starting;
         let starting = self.endpoints.iter().filter(is_starting).count() as u32;
-        let seen = Seen {
+        let seen = Observation {
             live: live.len() as u32,
             starting,
             running: live.iter().map(|n| self.endpoints[*n].engine.running as u32).sum(),
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -17,7 +17,7 @@
 use crate::gateway::duties::duty;
 use crate::gateway::policy::{load, reading};
 use crate::gateway::{directory, route};
-use crate::scaling::{Plan, Planner, Seen};
+use crate::scaling::{Observation, Plan, Planner};
 use crate::store::Condition;
 use crate::{config, lease};
 
@@ -198,7 +198,8 @@
                 let book = control.shared.book();
                 let work = endpoints.iter().map(|one| book.at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &reading)).sum();
-                let seen = Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
+                let seen =
+                    Observation { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
                     .planners
                     .entry(subject.clone())
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -115,7 +115,7 @@
         for line in &list.endpoints {
             let is_live = line.standing == platform::Standing::Live;
             if is_live && self.live.insert(line.id.clone()) && !first {
-                self.planners.entry(line.service.clone()).or_default().came_up(now_ms);
+                self.planners.entry(line.service.clone()).or_default().endpoint_started(now_ms);
             }
         }
     }
@@ -132,7 +132,7 @@
             lines.filter(|line| line.standing == standing).count() as u32
         };
         let offers = || loads.iter().filter_map(|load| load.offer.as_ref());
-        let seen = scaling::Seen {
+        let seen = scaling::Observation {
             live: count(platform::Standing::Live),
             starting: count(platform::Standing::Starting),
             running: offers().map(|offer| offer.running).sum(),
--- a/src/scaling.rs
+++ b/src/scaling.rs
@@ -25,7 +25,7 @@
 
 /// What is seen of a service in a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     pub live: u32,
     pub starting: u32,
     pub running: u32,
@@ -71,7 +71,7 @@
     }
 
     /// An endpoint that was ordered has come up; gives its start time to what is expected.
-    pub fn came_up(&mut self, now_ms: u64) {
+    pub fn endpoint_started(&mut self, now_ms: u64) {
         if let Some(ordered_ms) = self.ordered_ms.pop_front() {
             let took_ms = now_ms.saturating_sub(ordered_ms) as f64;
             self.start_ms += (took_ms - self.start_ms) * NEWEST;
@@ -79,7 +79,7 @@
     }
 
     /// What to order now; one order at a time.
-    pub fn plan(&mut self, seen: Seen, bounds: config::EndpointBounds, now_ms: u64) -> Plan {
+    pub fn plan(&mut self, seen: Observation, bounds: config::EndpointBounds, now_ms: u64) -> Plan {
         self.note(seen, now_ms);
         let all = seen.live + seen.starting;
         let wanted = self.wanted(seen, now_ms).clamp(bounds.least, bounds.most);
@@ -94,7 +94,7 @@
         Plan::Hold
     }
 
-    fn note(&mut self, seen: Seen, now_ms: u64) {
+    fn note(&mut self, seen: Observation, now_ms: u64) {
         let work_slots = f64::from(seen.running + seen.waiting);
         self.samples.push_back(Sample { at_ms: now_ms, work_slots });
         while self.samples.front().is_some_and(|first| first.at_ms + STOP_AFTER_MS < now_ms) {
@@ -102,13 +102,13 @@
         }
     }
 
-    fn endpoints_for(work_slots: f64, seen: Seen) -> u32 {
+    fn endpoints_for(work_slots: f64, seen: Observation) -> u32 {
         let carries = f64::from(seen.slots.max(1)) * UTILISATION;
         (work_slots / carries).ceil() as u32
     }
 
     /// Endpoints needed when one that is ordered now is up.
-    fn wanted(&self, seen: Seen, now_ms: u64) -> u32 {
+    fn wanted(&self, seen: Observation, now_ms: u64) -> u32 {
         let now_slots = f64::from(seen.running + seen.waiting);
         let growth = self.slope_per_ms(now_ms).max(0.0) * self.start_ms;
         // A short burst has a steep slope; it is not believed for more than the work there is.
@@ -116,7 +116,7 @@
     }
 
     /// Endpoints that were needed at some moment of the last while.
-    fn kept(&self, seen: Seen, now_ms: u64) -> u32 {
+    fn kept(&self, seen: Observation, now_ms: u64) -> u32 {
         let first_ms = self.samples.front().map_or(now_ms, |first| first.at_ms);
         if now_ms < first_ms + STOP_AFTER_MS - STOP_AFTER_MS / 10 {
             // A new holder has not watched for long enough to say what is not needed.
