--- a/src/billing.rs
+++ b/src/billing.rs
@@ -135,7 +135,7 @@
         }
         let sealed = seal(control, region, window).await?;
         // A holder frozen here and woken after its term must not report: the next one does.
-        if lease.epoch_for(control.hub.now_ms(), REPORT_MS).is_none() {
+        if lease.epoch_with_remaining(control.hub.now_ms(), REPORT_MS).is_none() {
             return Ok(());
         }
         control.platform.report(&sealed.report(region)).await?;
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -125,11 +125,11 @@
     /// This entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
     /// What the others are told of a lease held here, as of a time.
-    pub(super) own_lease: Cell<Option<(lease::Told, u64)>>,
+    pub(super) own_lease: Cell<Option<(lease::TermNotice, u64)>>,
     /// The newest that is known of another's lease, and since when, to be passed on.
-    pub(super) passed_lease: Cell<Option<(lease::Told, u64)>>,
+    pub(super) passed_lease: Cell<Option<(lease::TermNotice, u64)>>,
     /// What a holder has told last, and when.
-    pub(super) told_lease: Cell<Option<(lease::Told, u64)>>,
+    pub(super) told_lease: Cell<Option<(lease::TermNotice, u64)>>,
     /// The store answered the last read of the lease.
     pub(super) reads_lease: Cell<bool>,
     /// What this entry has of what those before it knew.
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -72,7 +72,7 @@
         contender: &lease::Contender,
     ) -> duty::Tick {
         let now_ms = control.now_ms();
-        let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
+        let Some(fence) = contender.epoch_with_remaining(now_ms, CALL_MS) else {
             return duty::Tick::Done;
         };
         self.since_ms.get_or_insert(now_ms);
--- a/src/gateway/duties/duty.rs
+++ b/src/gateway/duties/duty.rs
@@ -47,7 +47,8 @@
 pub(in crate::gateway) async fn contend<P: Platform>(control: Rc<Control<P>>) {
     let settings = &control.shared.settings;
     let name = format!("{}@{}", settings.id, settings.peer_addr());
-    let mut contender = lease::Contender::of_bound_address(name.into(), control.shared.boot, TERMS);
+    let mut contender =
+        lease::Contender::with_exclusive_name(name.into(), control.shared.boot, TERMS);
     let mut billing = billing::Billing::default();
     let mut scaling = scaling::Scaling::default();
     let mut vacant_since_ms = None;
@@ -60,13 +61,13 @@
             contender.release();
         }
         if let Some((told, at_ms)) = control.told_lease.take() {
-            contender.told(told, at_ms);
+            contender.receive_notice(told, at_ms);
             other_acted = Some((told.boot, at_ms.saturating_sub(told.idle_ms)));
         }
         let held = contender.epoch(now_ms).is_some();
         note_holding(&control, &contender, held);
-        if !contender.is_engaged() && !may_contend(&control, now_ms, &mut vacant_since_ms) {
-            if stands_by(&control, now_ms) && contender.step_aside(now_ms) == lease::Step::Read {
+        if !contender.must_step() && !may_contend(&control, now_ms, &mut vacant_since_ms) {
+            if stands_by(&control, now_ms) && contender.step_passive(now_ms) == lease::Step::Read {
                 read(&control, &mut contender).await;
             }
             time::sleep(Duration::from_millis(STEP_MS)).await;
@@ -91,10 +92,10 @@
         }
         if now_ms >= quiet_until_ms {
             while billing.tick(&control, &contender).await == Tick::Again {
-                contender.acted(control.now_ms());
+                contender.record_action(control.now_ms());
             }
             if scaling.tick(&control, &contender).await == Tick::Again {
-                contender.acted(control.now_ms());
+                contender.record_action(control.now_ms());
             }
         }
     }
@@ -117,7 +118,7 @@
 /// Notes what the other entries are told of the lease, and whether it is held here.
 fn note_holding<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
     let now_ms = control.now_ms();
-    control.own_lease.set(contender.tells(now_ms).map(|told| (told, now_ms)));
+    control.own_lease.set(contender.notice(now_ms).map(|told| (told, now_ms)));
     if control.holds_duties.replace(held) != held {
         slog::info!(control.log, "duties"; "held" => held);
     }
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -96,7 +96,7 @@
         if now_ms < self.next_ms || table.services().iter().all(|one| one.scaling.is_none()) {
             return duty::Tick::Done;
         }
-        let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
+        let Some(fence) = contender.epoch_with_remaining(now_ms, CALL_MS) else {
             return duty::Tick::Done;
         };
         self.next_ms = now_ms + PLAN_MS;
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -212,7 +212,7 @@
     shared.gate.take(state.gate, now_ms);
     control.change_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
     if let Some(told) = state.lease.filter(|told| told.boot != shared.boot) {
-        let newer = |(known, _): (lease::Told, u64)| known.version <= told.version;
+        let newer = |(known, _): (lease::TermNotice, u64)| known.version <= told.version;
         if control.passed_lease.get().is_none_or(newer) {
             control.passed_lease.set(Some((told, now_ms)));
             control.told_lease.set(Some((told, now_ms)));
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -44,7 +44,7 @@
     pub has_store: bool,
     pub holds_duties: bool,
     pub is_stopping: bool,
-    pub lease: Option<lease::Told>,
+    pub lease: Option<lease::TermNotice>,
     pub gate: gate::Ages,
     pub evacuations: evacuation::Told,
     pub limits: Vec<limits::Told>,
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -34,7 +34,7 @@
     /// Live entries that it knows.
     pub live: u16,
     /// The newest that is known of the lease of the duties, where its holder tells of it.
-    pub lease: Option<lease::Told>,
+    pub lease: Option<lease::TermNotice>,
     pub gate: gate::Ages,
     pub evacuations: evacuation::Told,
 }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -84,7 +84,7 @@
 /// stops gives its term back also while the store is away. What is told never makes two holders: a
 /// rival still replaces the very version that it was told of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct TermNotice {
     /// The store's version of the record.
     pub version: u64,
     pub boot: u64,
@@ -97,7 +97,7 @@
     pub is_over: bool,
 }
 
-impl Told {
+impl TermNotice {
     /// The same, said this much later.
     #[must_use]
     pub fn after(self, passed_ms: u64) -> Self {
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -5,7 +5,7 @@
 
 use compact_str::CompactString;
 
-use super::{Epoch, Record, Seen, Step, Terms, Told, Write};
+use super::{Epoch, Record, Seen, Step, TermNotice, Terms, Write};
 
 #[derive(Clone, Debug)]
 struct Holding {
@@ -79,7 +79,7 @@
     /// earlier start under this name is of a process that has ended, and need not be waited for: when
     /// all entries are killed at once, the duties are done again a term earlier.
     #[must_use]
-    pub fn of_bound_address(name: CompactString, boot: u64, terms: Terms) -> Self {
+    pub fn with_exclusive_name(name: CompactString, boot: u64, terms: Terms) -> Self {
         Self { is_sole: true, ..Self::new(name, boot, terms) }
     }
 
@@ -95,14 +95,14 @@
 
     /// The fencing number if at least `left_ms` of the term are left.
     #[must_use]
-    pub fn epoch_for(&self, now_ms: u64, left_ms: u64) -> Option<Epoch> {
+    pub fn epoch_with_remaining(&self, now_ms: u64, left_ms: u64) -> Option<Epoch> {
         self.epoch(now_ms + left_ms)
     }
 
     /// Whether only stepping on settles something: a write's outcome is open, or a term runs that
     /// has to be renewed or given back.
     #[must_use]
-    pub fn is_engaged(&self) -> bool {
+    pub fn must_step(&self) -> bool {
         !self.pending.is_empty() || self.holding.is_some()
     }
 
@@ -110,7 +110,7 @@
     ///
     /// Who sees a record for the first time has to wait for its whole term. Who has watched it
     /// stand takes over as soon as the term is over.
-    pub fn step_aside(&mut self, now_ms: u64) -> Step {
+    pub fn step_passive(&mut self, now_ms: u64) -> Step {
         self.read_when_due(now_ms)
     }
 
@@ -156,31 +156,38 @@
     }
 
     /// Notes an act under the lease.
-    pub fn acted(&mut self, now_ms: u64) {
+    pub fn record_action(&mut self, now_ms: u64) {
         self.acted_ms = Some(now_ms);
     }
 
     /// What to tell rivals of a term held here.
     #[must_use]
-    pub fn tells(&self, now_ms: u64) -> Option<Told> {
+    pub fn notice(&self, now_ms: u64) -> Option<TermNotice> {
         let (version, epoch) = self.last_held?;
         let left_ms =
             self.holding.as_ref().map_or(0, |one| self.end_ms(one).saturating_sub(now_ms));
         let is_over = self.releasing;
         let is_telling = is_over || self.holding.is_some();
         let idle_ms = self.acted_ms.map_or(u64::MAX, |acted_ms| now_ms.saturating_sub(acted_ms));
-        is_telling.then_some(Told { version, boot: self.boot, epoch, left_ms, idle_ms, is_over })
+        is_telling.then_some(TermNotice {
+            version,
+            boot: self.boot,
+            epoch,
+            left_ms,
+            idle_ms,
+            is_over,
+        })
     }
 
     /// Takes what a holder has told of its term.
-    pub fn told(&mut self, told: Told, now_ms: u64) {
+    pub fn receive_notice(&mut self, told: TermNotice, now_ms: u64) {
         if told.boot == self.boot {
             return;
         }
         if told.is_over {
             self.over = Some((told.boot, told.epoch));
         }
-        if self.is_engaged() {
+        if self.must_step() {
             return;
         }
         let record = Record {
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -179,7 +179,7 @@
     action: orders::Action,
 ) -> Result<(), Failure> {
     let region = &control.settings.region;
-    let Some(epoch) = lease.epoch_for(control.hub.now_ms(), ORDER_MS) else {
+    let Some(epoch) = lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) else {
         return Ok(());
     };
     let order = orders::Order {
@@ -193,7 +193,7 @@
     }
     // The store may have taken long, or this process been frozen in the call: the term is checked
     // once more, right before the order leaves.
-    if lease.epoch_for(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
+    if lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
         return Ok(());
     }
     slog::info!(control.log, "order"; "zone" => zone, "epoch" => epoch.0,
--- a/tests/gateway/succession.rs
+++ b/tests/gateway/succession.rs
@@ -1,6 +1,6 @@
 //! The lease of the duties passes on without a gap.
 
-use briarwinch::lease::{Contender, Record, Seen, Step, TERMS, Told};
+use briarwinch::lease::{Contender, Record, Seen, Step, TERMS, TermNotice};
 
 fn holding(name: &str, now_ms: u64) -> (Contender, Record) {
     let mut contender = Contender::new(name.into(), 1, TERMS);
@@ -19,13 +19,13 @@
     let (mut contender, _) = holding("one", 1_000);
     contender.release();
     assert!(contender.epoch(1_100).is_none(), "no act under a lease that is being given back");
-    assert!(contender.is_engaged());
+    assert!(contender.must_step());
     let Step::Write(write) = contender.step(1_100) else {
         panic!("the lease is given back");
     };
     assert_eq!(write.record.term_ms, 0);
     contender.written(6, 1_101);
-    assert!(!contender.is_engaged());
+    assert!(!contender.must_step());
 }
 
 /// Who sees a record for the first time waits for its whole term. Entries next in line read it
@@ -34,9 +34,9 @@
 fn an_entry_that_stood_by_takes_over_as_soon_as_the_term_is_over() {
     let (_, record) = holding("one", 0);
     let mut next = Contender::new("two".into(), 2, TERMS);
-    assert_eq!(next.step_aside(100), Step::Read);
+    assert_eq!(next.step_passive(100), Step::Read);
     next.read(Seen { version: 5, record: Some(record) }, 100, 101);
-    assert!(!matches!(next.step_aside(200), Step::Read), "it reads from time to time");
+    assert!(!matches!(next.step_passive(200), Step::Read), "it reads from time to time");
     let free_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
     assert!(!matches!(next.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(next.step(free_ms), Step::Write(_)));
@@ -94,13 +94,13 @@
 #[test]
 fn an_entry_that_starts_again_takes_its_former_lease_at_once() {
     let (_, record) = holding("one@127.0.0.1:80", 0);
-    let mut again = Contender::of_bound_address("one@127.0.0.1:80".into(), 9, TERMS);
+    let mut again = Contender::with_exclusive_name("one@127.0.0.1:80".into(), 9, TERMS);
     again.read(Seen { version: 5, record: Some(record.clone()) }, 700, 701);
     let Step::Write(write) = again.step(701) else {
         panic!("its former self has ended");
     };
     assert!(write.record.epoch > record.epoch, "what the former self sent is older");
-    let mut other = Contender::of_bound_address("two@127.0.0.2:80".into(), 9, TERMS);
+    let mut other = Contender::with_exclusive_name("two@127.0.0.2:80".into(), 9, TERMS);
     other.read(Seen { version: 5, record: Some(record) }, 700, 701);
     assert!(!matches!(other.step(701), Step::Write(_)), "another's term is waited for");
 }
@@ -111,14 +111,14 @@
 fn a_stopping_holder_tells_its_rivals_that_its_term_is_over() {
     let (mut holder, _) = holding("one", 1_000);
     let mut rival = Contender::new("two".into(), 2, TERMS);
-    let told = holder.tells(1_100).expect("it holds the lease");
+    let told = holder.notice(1_100).expect("it holds the lease");
     assert!(!told.is_over && told.left_ms > 0);
-    rival.told(told, 1_150);
+    rival.receive_notice(told, 1_150);
     assert!(!matches!(rival.step(1_150), Step::Write(_)));
     holder.release();
-    let told = holder.tells(1_200).expect("it has held the lease");
+    let told = holder.notice(1_200).expect("it has held the lease");
     assert!(told.is_over);
-    rival.told(told, 1_250);
+    rival.receive_notice(told, 1_250);
     let Step::Write(write) = rival.step(1_250) else {
         panic!("nobody is in charge");
     };
@@ -132,7 +132,7 @@
 fn a_rival_that_was_told_takes_over_when_the_term_ends() {
     let (holder, _) = holding("one", 1_000);
     let mut rival = Contender::new("two".into(), 2, TERMS);
-    rival.told(holder.tells(1_300).expect("it holds the lease"), 1_400);
+    rival.receive_notice(holder.notice(1_300).expect("it holds the lease"), 1_400);
     let end_ms = 1_000 + TERMS.term_ms - TERMS.margin_ms;
     let free_ms = end_ms + 100 + TERMS.margin_ms;
     assert!(!matches!(rival.step(free_ms - 1), Step::Write(_)));
@@ -142,7 +142,7 @@
 /// Messages come late and out of order. One about an older term must not make a newer one look over.
 #[test]
 fn what_is_told_of_an_older_term_changes_nothing() {
-    let told = Told {
+    let told = TermNotice {
         version: 9,
         boot: 1,
         epoch: briarwinch::lease::Epoch(3),
@@ -151,8 +151,8 @@
         is_over: false,
     };
     let mut rival = Contender::new("two".into(), 2, TERMS);
-    rival.told(told, 100);
-    let older = Told {
+    rival.receive_notice(told, 100);
+    let older = TermNotice {
         version: 8,
         boot: 4,
         epoch: briarwinch::lease::Epoch(2),
@@ -160,6 +160,6 @@
         idle_ms: 0,
         is_over: true,
     };
-    rival.told(older, 200);
+    rival.receive_notice(older, 200);
     assert!(!matches!(rival.step(2_000), Step::Write(_)));
 }
--- a/tests/properties/lease.rs
+++ b/tests/properties/lease.rs
@@ -1,6 +1,6 @@
 //! Leases: two daemons never both believe they are in charge while either acts.
 
-use briarwinch::lease::{Contender, Epoch, Record, Seen, Step, TERMS, Told};
+use briarwinch::lease::{Contender, Epoch, Record, Seen, Step, TERMS, TermNotice};
 use briarwinch::orders::Fence;
 use proptest::prelude::*;
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Message {
     from: usize,
-    told: Told,
+    told: TermNotice,
     at_ms: u64,
 }
 
@@ -116,7 +116,7 @@
     fn start(number: usize, boot: u64, clock_offset_ms: u64, at_ms: u64) -> Self {
         let name = format!("entry-{number}").into();
         Self {
-            contender: Contender::of_bound_address(name, boot, TERMS),
+            contender: Contender::with_exclusive_name(name, boot, TERMS),
             under_way: None,
             wait_until_ms: at_ms,
             clock_offset_ms,
@@ -124,9 +124,9 @@
     }
 
     /// What it tells its rivals, unless it is frozen.
-    fn tells(&self, true_ms: u64) -> Option<Told> {
+    fn tells(&self, true_ms: u64) -> Option<TermNotice> {
         let is_frozen = self.under_way.as_ref().is_some_and(|call| call.fate.frozen_ms > 0);
-        if is_frozen { None } else { self.contender.tells(self.clock(true_ms)) }
+        if is_frozen { None } else { self.contender.notice(self.clock(true_ms)) }
     }
 
     fn clock(&self, true_ms: u64) -> u64 {
@@ -252,7 +252,7 @@
                     // A rival that waits for a call hears of it when it goes on.
                     if to != message.from && daemon.under_way.is_none() {
                         let clock = daemon.clock(true_ms);
-                        daemon.contender.told(message.told, clock);
+                        daemon.contender.receive_notice(message.told, clock);
                     }
                 }
             }
