--- a/src/duties.rs
+++ b/src/duties.rs
@@ -148,7 +148,7 @@
 async fn contend(control: Rc<control::Control>, duty: Duty) {
     let key = duty.key();
     let mut contender =
-        lease::Contender::new(control.settings.id.clone(), control.boot, lease::TERMS);
+        lease::Contender::new(control.settings.id.clone(), control.boot, lease::TIMING);
     let mut work = Work::of(&duty);
     let clock = || control.hub.now_ms();
     loop {
--- a/src/gateway/duties/duty.rs
+++ b/src/gateway/duties/duty.rs
@@ -16,7 +16,7 @@
 /// between included: rivals see the last renewal within 1.3 s, wait 4.4 s, and report. Not shorter:
 /// a holder has to outlast a call of 1.2 s that got no answer, and acts of two holders must lie
 /// three seconds apart.
-const TERMS: lease::Terms = lease::Terms {
+const TERMS: lease::Timing = lease::Timing {
     term_ms: 4_000,
     margin_ms: 400,
     renew_ms: 1_300,
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -32,7 +32,7 @@
 
 /// How long terms are and how often they are looked after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct Timing {
     /// Length of a term.
     pub term_ms: u64,
     /// What a rival waits beyond the term, and a holder stops before its end, for clocks that run at
@@ -46,10 +46,10 @@
     pub settle_ms: u64,
 }
 
-/// Terms of the duties of side processes and entries: orders to endpoints may take seconds. The
+/// Timing of the duties of side processes and entries: orders to endpoints may take seconds. The
 /// margin is a thousandth of the term many times over, ten times what a quartz clock drifts.
-pub const TERMS: Terms =
-    Terms { term_ms: 6_000, margin_ms: 500, renew_ms: 2_000, read_ms: 2_000, settle_ms: 500 };
+pub const TIMING: Timing =
+    Timing { term_ms: 6_000, margin_ms: 500, renew_ms: 2_000, read_ms: 2_000, settle_ms: 500 };
 
 /// What the store holds of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 
 /// A record with the store's version of it; version zero: no such object.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct VersionedRecord {
     pub version: u64,
     pub record: Option<Record>,
 }
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -5,7 +5,7 @@
 
 use compact_str::CompactString;
 
-use super::{Epoch, Record, Seen, Step, TermNotice, Terms, Write};
+use super::{Epoch, Record, Step, TermNotice, Timing, VersionedRecord, Write};
 
 #[derive(Clone, Debug)]
 struct Holding {
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 struct Standing {
-    seen: Seen,
+    seen: VersionedRecord,
     /// When it may be replaced.
     free_at_ms: u64,
 }
@@ -33,7 +33,7 @@
 pub struct Contender {
     name: CompactString,
     boot: u64,
-    terms: Terms,
+    terms: Timing,
     /// No other live process can have this name.
     is_sole: bool,
     nonce: u64,
@@ -56,7 +56,7 @@
 impl Contender {
     /// A daemon that has just started, with a number of this start of its own.
     #[must_use]
-    pub fn new(name: CompactString, boot: u64, terms: Terms) -> Self {
+    pub fn new(name: CompactString, boot: u64, terms: Timing) -> Self {
         Self {
             name,
             boot,
@@ -79,7 +79,7 @@
     /// earlier start under this name is of a process that has ended, and need not be waited for: when
     /// all entries are killed at once, the duties are done again a term earlier.
     #[must_use]
-    pub fn with_exclusive_name(name: CompactString, boot: u64, terms: Terms) -> Self {
+    pub fn with_exclusive_name(name: CompactString, boot: u64, terms: Timing) -> Self {
         Self { is_sole: true, ..Self::new(name, boot, terms) }
     }
 
@@ -209,7 +209,7 @@
                 free_at_ms = free_at_ms.min(standing.free_at_ms);
             }
         }
-        let seen = Seen { version: told.version, record: Some(record) };
+        let seen = VersionedRecord { version: told.version, record: Some(record) };
         self.standing = Some(Standing { seen, free_at_ms });
         self.next_read_ms = now_ms + self.terms.read_ms;
     }
@@ -247,7 +247,7 @@
     }
 
     /// The record was read; the read was sent at `sent_ms`.
-    pub fn read(&mut self, seen: Seen, sent_ms: u64, now_ms: u64) {
+    pub fn read(&mut self, seen: VersionedRecord, sent_ms: u64, now_ms: u64) {
         self.next_read_ms = now_ms + self.terms.read_ms;
         if self.older_than_known(&seen) {
             return;
@@ -287,7 +287,7 @@
         self.releasing = true;
     }
 
-    fn older_than_known(&self, seen: &Seen) -> bool {
+    fn older_than_known(&self, seen: &VersionedRecord) -> bool {
         // A lagging read shows a version that has been replaced. Taking it would restart the
         // count on a record that no longer stands.
         let standing = self.standing.as_ref().map(|standing| standing.seen.version);
@@ -338,7 +338,8 @@
             is_term.then_some(Holding { version, epoch: record.epoch, from_ms: pending.sent_ms });
         self.last_held = Some((version, record.epoch));
         let free_at_ms = self.free_at_ms(Some(&record), now_ms);
-        self.standing = Some(Standing { seen: Seen { version, record: Some(record) }, free_at_ms });
+        self.standing =
+            Some(Standing { seen: VersionedRecord { version, record: Some(record) }, free_at_ms });
     }
 
     fn read_when_due(&mut self, now_ms: u64) -> Step {
--- a/src/lease_io.rs
+++ b/src/lease_io.rs
@@ -18,11 +18,11 @@
 ) -> Result<(), Failure> {
     let sent_ms = now_ms();
     let seen = match store.get(key).await? {
-        None => lease::Seen { version: 0, record: None },
+        None => lease::VersionedRecord { version: 0, record: None },
         Some(object) => {
             // A record that can't be read is replaced like one that is free.
             let record = serde_json::from_str(&object.value).ok();
-            lease::Seen { version: object.version, record }
+            lease::VersionedRecord { version: object.version, record }
         }
     };
     contender.read(seen, sent_ms, now_ms());
--- a/tests/gateway/succession.rs
+++ b/tests/gateway/succession.rs
@@ -1,10 +1,10 @@
 //! The lease of the duties passes on without a gap.
 
-use briarwinch::lease::{Contender, Record, Seen, Step, TERMS, TermNotice};
+use briarwinch::lease::{Contender, Record, Step, TIMING, TermNotice, VersionedRecord};
 
 fn holding(name: &str, now_ms: u64) -> (Contender, Record) {
-    let mut contender = Contender::new(name.into(), 1, TERMS);
-    contender.read(Seen { version: 0, record: None }, now_ms, now_ms);
+    let mut contender = Contender::new(name.into(), 1, TIMING);
+    contender.read(VersionedRecord { version: 0, record: None }, now_ms, now_ms);
     let Step::Write(write) = contender.step(now_ms) else {
         panic!("a free lease is taken");
     };
@@ -33,19 +33,19 @@
 #[test]
 fn an_entry_that_stood_by_takes_over_as_soon_as_the_term_is_over() {
     let (_, record) = holding("one", 0);
-    let mut next = Contender::new("two".into(), 2, TERMS);
+    let mut next = Contender::new("two".into(), 2, TIMING);
     assert_eq!(next.step_passive(100), Step::Read);
-    next.read(Seen { version: 5, record: Some(record) }, 100, 101);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, 100, 101);
     assert!(!matches!(next.step_passive(200), Step::Read), "it reads from time to time");
-    let free_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
+    let free_ms = 101 + TIMING.term_ms + TIMING.margin_ms;
     assert!(!matches!(next.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(next.step(free_ms), Step::Write(_)));
 }
 
 fn taking_over(from: &Record) -> (Contender, Record, u64) {
-    let mut next = Contender::new("two".into(), 2, TERMS);
-    next.read(Seen { version: 5, record: Some(from.clone()) }, 100, 101);
-    let now_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
+    let mut next = Contender::new("two".into(), 2, TIMING);
+    next.read(VersionedRecord { version: 5, record: Some(from.clone()) }, 100, 101);
+    let now_ms = 101 + TIMING.term_ms + TIMING.margin_ms;
     let Step::Write(write) = next.step(now_ms) else {
         panic!("the term is over");
     };
@@ -61,7 +61,7 @@
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
     assert_eq!(next.step(now_ms + 1_200), Step::Read);
-    next.read(Seen { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
     let Step::Write(again) = next.step(now_ms + 1_201) else {
         panic!("it tries again");
     };
@@ -78,14 +78,14 @@
     let (_, record) = holding("one", 0);
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
-    next.read(Seen { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
     assert!(matches!(next.step(now_ms + 1_201), Step::Write(_)));
     next.refused(now_ms + 1_210);
     assert_eq!(next.step(now_ms + 1_210), Step::Read);
     let epoch = first.epoch;
-    next.read(Seen { version: 6, record: Some(first) }, now_ms + 1_210, now_ms + 1_211);
+    next.read(VersionedRecord { version: 6, record: Some(first) }, now_ms + 1_210, now_ms + 1_211);
     assert_eq!(next.epoch(now_ms + 1_212), Some(epoch));
-    let end_ms = now_ms + TERMS.term_ms - TERMS.margin_ms;
+    let end_ms = now_ms + TIMING.term_ms - TIMING.margin_ms;
     assert_eq!(next.epoch(end_ms), None, "its term counts from the write that took effect");
 }
 
@@ -94,14 +94,14 @@
 #[test]
 fn an_entry_that_starts_again_takes_its_former_lease_at_once() {
     let (_, record) = holding("one@127.0.0.1:80", 0);
-    let mut again = Contender::with_exclusive_name("one@127.0.0.1:80".into(), 9, TERMS);
-    again.read(Seen { version: 5, record: Some(record.clone()) }, 700, 701);
+    let mut again = Contender::with_exclusive_name("one@127.0.0.1:80".into(), 9, TIMING);
+    again.read(VersionedRecord { version: 5, record: Some(record.clone()) }, 700, 701);
     let Step::Write(write) = again.step(701) else {
         panic!("its former self has ended");
     };
     assert!(write.record.epoch > record.epoch, "what the former self sent is older");
-    let mut other = Contender::with_exclusive_name("two@127.0.0.2:80".into(), 9, TERMS);
-    other.read(Seen { version: 5, record: Some(record) }, 700, 701);
+    let mut other = Contender::with_exclusive_name("two@127.0.0.2:80".into(), 9, TIMING);
+    other.read(VersionedRecord { version: 5, record: Some(record) }, 700, 701);
     assert!(!matches!(other.step(701), Step::Write(_)), "another's term is waited for");
 }
 
@@ -110,7 +110,7 @@
 #[test]
 fn a_stopping_holder_tells_its_rivals_that_its_term_is_over() {
     let (mut holder, _) = holding("one", 1_000);
-    let mut rival = Contender::new("two".into(), 2, TERMS);
+    let mut rival = Contender::new("two".into(), 2, TIMING);
     let told = holder.notice(1_100).expect("it holds the lease");
     assert!(!told.is_over && told.left_ms > 0);
     rival.receive_notice(told, 1_150);
@@ -131,10 +131,10 @@
 #[test]
 fn a_rival_that_was_told_takes_over_when_the_term_ends() {
     let (holder, _) = holding("one", 1_000);
-    let mut rival = Contender::new("two".into(), 2, TERMS);
+    let mut rival = Contender::new("two".into(), 2, TIMING);
     rival.receive_notice(holder.notice(1_300).expect("it holds the lease"), 1_400);
-    let end_ms = 1_000 + TERMS.term_ms - TERMS.margin_ms;
-    let free_ms = end_ms + 100 + TERMS.margin_ms;
+    let end_ms = 1_000 + TIMING.term_ms - TIMING.margin_ms;
+    let free_ms = end_ms + 100 + TIMING.margin_ms;
     assert!(!matches!(rival.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(rival.step(free_ms), Step::Write(_)));
 }
@@ -150,7 +150,7 @@
         idle_ms: 0,
         is_over: false,
     };
-    let mut rival = Contender::new("two".into(), 2, TERMS);
+    let mut rival = Contender::new("two".into(), 2, TIMING);
     rival.receive_notice(told, 100);
     let older = TermNotice {
         version: 8,
--- a/tests/properties/lease.rs
+++ b/tests/properties/lease.rs
@@ -1,6 +1,6 @@
 //! Leases: two daemons never both believe they are in charge while either acts.
 
-use briarwinch::lease::{Contender, Epoch, Record, Seen, Step, TERMS, TermNotice};
+use briarwinch::lease::{Contender, Epoch, Record, Step, TIMING, TermNotice, VersionedRecord};
 use briarwinch::orders::Fence;
 use proptest::prelude::*;
 
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 enum Outcome {
-    Seen(Seen),
+    VersionedRecord(VersionedRecord),
     Written(u64),
     Conflict,
     Nothing,
@@ -86,9 +86,9 @@
 }
 
 impl Store {
-    fn seen(&self, stale: bool) -> Seen {
+    fn seen(&self, stale: bool) -> VersionedRecord {
         let count = self.history.len() - usize::from(stale && !self.history.is_empty());
-        Seen {
+        VersionedRecord {
             version: count as u64,
             record: count.checked_sub(1).map(|at| self.history[at].clone()),
         }
@@ -99,7 +99,7 @@
             return Outcome::Nothing;
         }
         let outcome = match effect {
-            Effect::Read => Outcome::Seen(self.seen(fate.stale)),
+            Effect::Read => Outcome::VersionedRecord(self.seen(fate.stale)),
             Effect::Write { if_version, .. } if *if_version != self.history.len() as u64 => {
                 Outcome::Conflict
             }
@@ -116,7 +116,7 @@
     fn start(number: usize, boot: u64, clock_offset_ms: u64, at_ms: u64) -> Self {
         let name = format!("entry-{number}").into();
         Self {
-            contender: Contender::with_exclusive_name(name, boot, TERMS),
+            contender: Contender::with_exclusive_name(name, boot, TIMING),
             under_way: None,
             wait_until_ms: at_ms,
             clock_offset_ms,
@@ -144,7 +144,7 @@
             }
             let call = self.under_way.take().expect("matched above");
             match (&call.effect, call.outcome.expect("the effect comes first")) {
-                (Effect::Read, Outcome::Seen(seen)) => {
+                (Effect::Read, Outcome::VersionedRecord(seen)) => {
                     self.contender.read(seen, call.sent_ms, clock);
                 }
                 (Effect::Write { .. }, Outcome::Written(version)) => {
@@ -303,14 +303,14 @@
 /// rival can have begun: the gap between both is twice the margin.
 #[test]
 fn woken_holder_knows_that_its_term_is_over() {
-    let mut holder = Contender::new("holder".into(), 1, TERMS);
-    holder.read(Seen { version: 0, record: None }, 0, 0);
+    let mut holder = Contender::new("holder".into(), 1, TIMING);
+    holder.read(VersionedRecord { version: 0, record: None }, 0, 0);
     assert!(matches!(holder.step(0), Step::Write(_)));
     holder.written(1, 700);
-    let last = (0..2 * TERMS.term_ms).rev().find(|now| holder.epoch(*now).is_some());
+    let last = (0..2 * TIMING.term_ms).rev().find(|now| holder.epoch(*now).is_some());
     assert_eq!(
         last,
-        Some(TERMS.term_ms - TERMS.margin_ms - 1),
+        Some(TIMING.term_ms - TIMING.margin_ms - 1),
         "counted from before the write was sent"
     );
 }
@@ -318,15 +318,15 @@
 /// A daemon stops as planned and gives its lease back, so that the next one need not wait.
 #[test]
 fn released_lease_is_taken_at_once() {
-    let mut holder = Contender::new("holder".into(), 1, TERMS);
-    holder.read(Seen { version: 0, record: None }, 0, 0);
+    let mut holder = Contender::new("holder".into(), 1, TIMING);
+    holder.read(VersionedRecord { version: 0, record: None }, 0, 0);
     let Step::Write(_) = holder.step(0) else { panic!("it takes the free lease") };
     holder.written(1, 10);
     holder.release();
     assert_eq!(holder.epoch(20), None, "it no longer acts");
     let Step::Write(write) = holder.step(20) else { panic!("it gives the lease back") };
-    let mut rival = Contender::new("rival".into(), 2, TERMS);
-    rival.read(Seen { version: 2, record: Some(write.record) }, 30, 30);
+    let mut rival = Contender::new("rival".into(), 2, TIMING);
+    rival.read(VersionedRecord { version: 2, record: Some(write.record) }, 30, 30);
     let Step::Write(taken) = rival.step(30) else { panic!("it need not wait") };
     assert_eq!(taken.record.epoch, Epoch(2));
 }
