--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -7,7 +7,7 @@
 use briarwinch::latency::LatencyEstimator;
 use briarwinch::membership::Place;
 use briarwinch::placement::{self, Backoffs, Target};
-use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
+use briarwinch::queue::{ClassRule, Job, PushOutcome, Queue, Started};
 use briarwinch::retry::Budget;
 use briarwinch::scaling::{Observation, Plan, Planner};
 use briarwinch::{config, wire};
@@ -331,7 +331,7 @@
         let class = config::ClassKey(request.class as u16);
         let ahead = match &endpoint.waiting {
             Waiting::Router(queue) => {
-                queue.ahead_of(class, &format!("account-{}", request.account), 1)
+                queue.jobs_ahead(class, &format!("account-{}", request.account), 1)
             }
             Waiting::Ordered { jobs, strict } => {
                 let priority = |class: config::ClassKey| self.rules[usize::from(class.0)].priority;
@@ -372,12 +372,12 @@
             share: 1,
             estimate_tokens: u64::from(of.prompt_tokens) + output,
             target_at_ms: of.arrived_ms + u64::from(class.latency_target_ms),
-            give_up_at_ms: self.now_ms + longest.unwrap_or(PATIENCE_MS).min(PATIENCE_MS),
+            expires_at_ms: self.now_ms + longest.unwrap_or(PATIENCE_MS).min(PATIENCE_MS),
         };
         let refused = match &mut endpoint.waiting {
             Waiting::Router(queue) => match queue.push(job) {
-                Pushed::Waits(_) => None,
-                Pushed::WaitsInsteadOf(_, out) | Pushed::Refused(out) => Some(out),
+                PushOutcome::Queued(_) => None,
+                PushOutcome::QueuedEvicting(_, out) | PushOutcome::Refused(out) => Some(out),
             },
             Waiting::Ordered { jobs, strict } => {
                 jobs.push_back(job);
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -66,7 +66,7 @@
         share: 1,
         estimate_tokens: 500,
         target_at_ms: id,
-        give_up_at_ms: id + 100_000,
+        expires_at_ms: id + 100_000,
     }
 }
 
@@ -97,7 +97,7 @@
     let ahead = time_ns(200, || {
         for _ in 0..200 {
             let queue = black_box(&queue);
-            black_box(queue.ahead_of(config::ClassKey(3), "account-7", 1));
+            black_box(queue.jobs_ahead(config::ClassKey(3), "account-7", 1));
         }
     });
     print("queue: jobs ahead with 10000 waiting of 3400 accounts", "ns", ahead);
@@ -105,7 +105,7 @@
     let ahead = time_ns(2_000, || {
         for _ in 0..2_000 {
             let small = black_box(&small);
-            black_box(small.ahead_of(config::ClassKey(3), "account-7", 1));
+            black_box(small.jobs_ahead(config::ClassKey(3), "account-7", 1));
         }
     });
     print("queue: jobs ahead with 200 waiting", "ns", ahead);
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -69,7 +69,7 @@
     /// When its latency target is missed.
     pub target_at_ms: u64,
     /// When it is given up.
-    pub give_up_at_ms: u64,
+    pub expires_at_ms: u64,
 }
 
 /// A job that has started, with what it was charged.
@@ -85,10 +85,10 @@
 
 /// What became of a job that was pushed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Pushed {
-    Waits(Ticket),
+pub enum PushOutcome {
+    Queued(Ticket),
     /// It waits, in the place of this one, which is refused.
-    WaitsInsteadOf(Ticket, Job),
+    QueuedEvicting(Ticket, Job),
     /// There is no place for it.
     Refused(Job),
 }
@@ -181,7 +181,7 @@
     /// make the endpoint look too slow for the others, who would be refused though their turn is
     /// near.
     #[must_use]
-    pub fn ahead_of(&self, class: config::ClassKey, account: &str, share: u32) -> usize {
+    pub fn jobs_ahead(&self, class: config::ClassKey, account: &str, share: u32) -> usize {
         let own_class = usize::from(class.0);
         let priority = self.rules[own_class].priority;
         let lanes = self.rules.iter().zip(&self.lanes).enumerate();
@@ -204,25 +204,25 @@
     }
 
     /// Takes in a job, or says which one is refused.
-    pub fn push(&mut self, job: Job) -> Pushed {
+    pub fn push(&mut self, job: Job) -> PushOutcome {
         let class = usize::from(job.class.0);
         if self.rules[class].protected {
             self.since_protected = 0;
         }
         if self.has_place(class) {
-            return Pushed::Waits(self.insert(job));
+            return PushOutcome::Queued(self.insert(job));
         }
         let victim = self.lower_victim(class).or_else(|| self.hog_victim(&job));
         match victim.and_then(|ticket| self.remove(ticket)) {
-            Some(evicted) => Pushed::WaitsInsteadOf(self.insert(job), evicted),
-            None => Pushed::Refused(job),
+            Some(evicted) => PushOutcome::QueuedEvicting(self.insert(job), evicted),
+            None => PushOutcome::Refused(job),
         }
     }
 
     /// Takes out a job that its caller no longer wants.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Job> {
         let job = self.jobs.remove(ticket)?;
-        self.give_up.remove(&(job.give_up_at_ms, ticket));
+        self.give_up.remove(&(job.expires_at_ms, ticket));
         let lane = &mut self.lanes[usize::from(job.class.0)];
         lane.waiting -= 1;
         lane.counters.leave(&job.account);
@@ -314,9 +314,9 @@
     fn insert(&mut self, job: Job) -> Ticket {
         let class = usize::from(job.class.0);
         let account = job.account.clone();
-        let (target_at_ms, give_up_at_ms) = (job.target_at_ms, job.give_up_at_ms);
+        let (target_at_ms, expires_at_ms) = (job.target_at_ms, job.expires_at_ms);
         let ticket = self.jobs.insert(job);
-        self.give_up.insert((give_up_at_ms, ticket), ());
+        self.give_up.insert((expires_at_ms, ticket), ());
         let lane = &mut self.lanes[class];
         if lane.waiting == 0 {
             lane.since_tokens = self.total_tokens;
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -132,7 +132,7 @@
         share: u32,
         now_ms: u64,
     ) -> u32 {
-        let ahead = self.queue.borrow().ahead_of(class, account, share);
+        let ahead = self.queue.borrow().jobs_ahead(class, account, share);
         let latency = self.latency.borrow();
         latency
             .wait_ms(ahead, self.running.get(), self.slots())
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -210,7 +210,7 @@
             );
         }
         let run = self.insert(submit, outbox, now_ms);
-        let give_up_at_ms =
+        let expires_at_ms =
             longest_wait_ms.map_or(run.deadline_ms, |most| run.deadline_ms.min(now_ms + most));
         let output = endpoint.latency.borrow().output_tokens(run.submit.max_tokens);
         let job = queue::Job {
@@ -220,7 +220,7 @@
             share,
             estimate_tokens: u64::from(run.submit.prompt_tokens) + output,
             target_at_ms: now_ms + u64::from(run.submit.target_ms),
-            give_up_at_ms,
+            expires_at_ms,
         };
         self.place(endpoint, &run, job);
         self.pump(endpoint);
@@ -263,12 +263,12 @@
     fn place(&self, endpoint: &endpoint::Endpoint, run: &Run, job: queue::Job) {
         let pushed = endpoint.queue.borrow_mut().push(job);
         match pushed {
-            queue::Pushed::Waits(ticket) => *run.phase.borrow_mut() = Phase::Queued(ticket),
-            queue::Pushed::WaitsInsteadOf(ticket, evicted) => {
+            queue::PushOutcome::Queued(ticket) => *run.phase.borrow_mut() = Phase::Queued(ticket),
+            queue::PushOutcome::QueuedEvicting(ticket, evicted) => {
                 *run.phase.borrow_mut() = Phase::Queued(ticket);
                 self.refuse_job(endpoint, &evicted, error::Kind::QueueFull);
             }
-            queue::Pushed::Refused(job) => {
+            queue::PushOutcome::Refused(job) => {
                 self.refuse_job(endpoint, &job, error::Kind::QueueFull);
             }
         }
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use briarwinch::config::ClassKey;
-use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
+use briarwinch::queue::{ClassRule, Job, PushOutcome, Queue, Started};
 use proptest::prelude::*;
 
 const PLACES: usize = 24;
@@ -24,7 +24,7 @@
         share: 1,
         estimate_tokens: tokens,
         target_at_ms: id,
-        give_up_at_ms: u64::MAX,
+        expires_at_ms: u64::MAX,
     }
 }
 
@@ -71,15 +71,15 @@
                     let new = job(id, class, account, tokens);
                     let rule = |job: &Job| rules[usize::from(job.class.0)];
                     match queue.push(new.clone()) {
-                        Pushed::Waits(_) => { waiting.insert(id, new); }
-                        Pushed::WaitsInsteadOf(_, out) => {
+                        PushOutcome::Queued(_) => { waiting.insert(id, new); }
+                        PushOutcome::QueuedEvicting(_, out) => {
                             prop_assert!(waiting.remove(&out.id).is_some());
                             let lower = rule(&out).priority < rule(&new).priority;
                             prop_assert!(!(rule(&out).protected && out.class != new.class));
                             prop_assert!(lower || out.class == new.class);
                             waiting.insert(id, new);
                         }
-                        Pushed::Refused(out) => {
+                        PushOutcome::Refused(out) => {
                             prop_assert_eq!(out.id, id);
                             if rule(&out).protected {
                                 // Every common place is held by its own tier, higher ones, or
@@ -165,7 +165,7 @@
             while few < 3 {
                 id += 1;
                 let pushed = queue.push(job(id, 3, 1, tokens));
-                prop_assert!(!matches!(pushed, Pushed::Refused(_)), "the few are not refused");
+                prop_assert!(!matches!(pushed, PushOutcome::Refused(_)), "the few are not refused");
                 few += 1;
             }
             let started = queue.pop(0, 32).expect("it waits");
