--- a/src/claims.rs
+++ b/src/claims.rs
@@ -69,12 +69,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Send the call.
-    Go(Claim),
+    Claimed(Claim),
     /// It ran before; this is its answer.
     Replay(SavedAnswer),
     /// It may not be sent. When `open`, the creation was never answered and may yet take effect;
     /// it has to be released later.
-    Refuse { refusal: error::Refusal, open: Option<Claim> },
+    Refuse { refusal: error::Refusal, unconfirmed: Option<Claim> },
 }
 
 /// Object key of a claim.
@@ -98,7 +98,7 @@
     for _ in 0..TRIES {
         match store.put(&key, text(&record), Condition::Absent).await {
             Ok(version) => {
-                return Outcome::Go(Claim { key, record, version });
+                return Outcome::Claimed(Claim { key, record, version });
             }
             Err(Failure::Conflict) => {}
             Err(Failure::NoAnswer) => sent = true,
@@ -112,17 +112,17 @@
                 return refuse(error::Kind::ClaimUnresolved, None);
             };
             if found.nonce == record.nonce && found.holder == record.holder {
-                return Outcome::Go(Claim { key, record, version: object.version });
+                return Outcome::Claimed(Claim { key, record, version: object.version });
             }
             return examine(&found, &record, is_alive);
         }
     }
-    let open = sent.then(|| Claim { key, record, version: 0 });
-    refuse(error::Kind::StoreUnavailable, open)
+    let unconfirmed = sent.then(|| Claim { key, record, version: 0 });
+    refuse(error::Kind::StoreUnavailable, unconfirmed)
 }
 
-fn refuse(kind: error::Kind, open: Option<Claim>) -> Outcome {
-    Outcome::Refuse { refusal: error::Refusal::not_run(kind), open }
+fn refuse(kind: error::Kind, unconfirmed: Option<Claim>) -> Outcome {
+    Outcome::Refuse { refusal: error::Refusal::not_run(kind), unconfirmed }
 }
 
 fn examine(found: &Record, wanted: &Record, is_alive: impl Fn(&Holder) -> bool) -> Outcome {
@@ -134,17 +134,17 @@
         State::Running if is_alive(&found.holder) => {
             let refusal =
                 error::Refusal::unknown(error::Kind::ClaimRunning).retry_after_ms(RUNNING_RETRY_MS);
-            Outcome::Refuse { refusal, open: None }
+            Outcome::Refuse { refusal, unconfirmed: None }
         }
         State::Running | State::Unknown => {
             let refusal = error::Refusal::unknown(error::Kind::ClaimUnresolved);
-            Outcome::Refuse { refusal, open: None }
+            Outcome::Refuse { refusal, unconfirmed: None }
         }
     }
 }
 
 /// Writes what became of a call that was sent. Says whether the store has it.
-pub async fn settle(store: &impl ObjectStore, claim: &mut Claim, state: State) -> bool {
+pub async fn record_outcome(store: &impl ObjectStore, claim: &mut Claim, state: State) -> bool {
     claim.record.state = state;
     for _ in 0..TRIES {
         let condition = Condition::Version(claim.version);
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -96,7 +96,7 @@
     match &outcome {
         Ok(()) => {
             let state = claims::State::Done(saved(&run.answer.borrow()));
-            if !claims::settle(&side.platform, &mut claim, state.clone()).await {
+            if !claims::record_outcome(&side.platform, &mut claim, state.clone()).await {
                 settle_soon(side, Unsettled::Settle(claim, state));
             }
         }
@@ -125,13 +125,13 @@
     };
     let outcome = claims::claim(&side.platform, key, record, |holder| side.is_alive(holder)).await;
     match outcome {
-        claims::Outcome::Go(claim) => Ok(Some(claim)),
+        claims::Outcome::Claimed(claim) => Ok(Some(claim)),
         claims::Outcome::Replay(saved) => {
             replay(run, saved)?;
             Ok(None)
         }
-        claims::Outcome::Refuse { refusal, open } => {
-            if let Some(claim) = open {
+        claims::Outcome::Refuse { refusal, unconfirmed } => {
+            if let Some(claim) = unconfirmed {
                 settle_soon(side, Unsettled::Release(claim));
             }
             Err(refusal)
@@ -174,7 +174,7 @@
             let settled = match &mut unsettled {
                 Unsettled::Release(claim) => claims::release(&side.platform, claim).await,
                 Unsettled::Settle(claim, state) => {
-                    claims::settle(&side.platform, claim, state.clone()).await
+                    claims::record_outcome(&side.platform, claim, state.clone()).await
                 }
             };
             if settled {
--- a/tests/properties/claims.rs
+++ b/tests/properties/claims.rs
@@ -78,7 +78,7 @@
             // Whatever was delayed may arrive at any later moment; here at the worst one.
             store.settle();
             match outcome {
-                Outcome::Go(mut claim) => match attempt.dies {
+                Outcome::Claimed(mut claim) => match attempt.dies {
                     Death::BeforeSend => boots[attempt.side as usize] += 1,
                     Death::NotSent => { now(claims::release(&store, &claim)); }
                     Death::AfterSend => {
@@ -87,14 +87,14 @@
                     }
                     Death::None => {
                         sends += 1;
-                        now(claims::settle(&store, &mut claim, State::Done(saved(sends))));
+                        now(claims::record_outcome(&store, &mut claim, State::Done(saved(sends))));
                     }
                 },
                 Outcome::Replay(answer) => prop_assert_eq!(answer, saved(1)),
-                Outcome::Refuse { refusal, open } => {
+                Outcome::Refuse { refusal, unconfirmed } => {
                     // "Not run" is said of this try; and where the claim may still arrive, it is
                     // known, so that it can be taken back.
-                    if let Some(claim) = open {
+                    if let Some(claim) = unconfirmed {
                         prop_assert_eq!(refusal.ran, briarwinch::error::Ran::No);
                         if now(claims::release(&store, &claim)) {
                             store.settle();
@@ -119,8 +119,8 @@
         holder: Holder { daemon: "side".into(), boot },
     };
     let first = now(claims::claim(&store, "claims/k".to_owned(), record(1, 1), |_| true));
-    assert!(matches!(first, Outcome::Go(_)));
+    assert!(matches!(first, Outcome::Claimed(_)));
     let second = now(claims::claim(&store, "claims/k".to_owned(), record(2, 2), |_| false));
-    let Outcome::Refuse { refusal, open: None } = second else { panic!("{second:?}") };
+    let Outcome::Refuse { refusal, unconfirmed: None } = second else { panic!("{second:?}") };
     assert_eq!(refusal.kind, briarwinch::error::Kind::ClaimUnresolved);
 }
