--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -165,12 +165,12 @@
     });
     let both = time_ns(2_000, || {
         for _ in 0..2_000 {
-            let bytes = seal::datagram(&secret, &ask).expect("short");
+            let bytes = seal::seal_datagram(&secret, &ask).expect("short");
             black_box(seal::open_datagram::<wire::Datagram>(&secret, &bytes).expect("sealed"));
         }
     });
     print("ask: seal and open", "ns", both);
-    let bytes = seal::datagram(&secret, &ask).expect("short");
+    let bytes = seal::seal_datagram(&secret, &ask).expect("short");
     print("ask: size", "bytes", bytes.len() as f64);
     let offer = wire::Datagram::Offer(wire::Offer {
         nonce: u64::MAX,
@@ -182,14 +182,14 @@
         running: 20,
         waiting: 100,
     });
-    let bytes = seal::datagram(&secret, &offer).expect("short");
+    let bytes = seal::seal_datagram(&secret, &offer).expect("short");
     print("offer: size", "bytes", bytes.len() as f64);
     let shared = fleet();
     let digest = shared.digest(([127, 0, 0, 1], 1).into(), false);
     let one = time_ns(2_000, || {
         for _ in 0..2_000 {
             let datagram = wire::Datagram::Digest(digest.clone());
-            let bytes = seal::datagram(&secret, &datagram).expect("short");
+            let bytes = seal::seal_datagram(&secret, &datagram).expect("short");
             let Ok(wire::Datagram::Digest(digest)) = seal::open_datagram(&secret, &bytes) else {
                 unreachable!("sealed above")
             };
@@ -197,7 +197,7 @@
         }
     });
     print("digest: seal, open and compare with 340 daemons", "ns", one);
-    let bytes = seal::datagram(&secret, &wire::Datagram::Digest(digest)).expect("short");
+    let bytes = seal::seal_datagram(&secret, &wire::Datagram::Digest(digest)).expect("short");
     print("digest: size", "bytes", bytes.len() as f64);
 }
 
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -147,7 +147,7 @@
     );
     shared.take_config(wire::ConfigText { version, text });
     let digest = wire::Datagram::Digest(shared.digest(own, true));
-    let bytes = seal::datagram(&secret, &digest).expect("short");
+    let bytes = seal::seal_datagram(&secret, &digest).expect("short");
     let shared = Rc::new(shared);
     udp.send_to(&bytes, addr).await.expect("loopback takes it");
     for _ in 0..64 {
--- a/src/control.rs
+++ b/src/control.rs
@@ -298,7 +298,7 @@
 
     fn send_digest(&self, addr: SocketAddr, is_answer: bool) {
         let digest = self.shared.borrow().digest(self.settings.peer_addr, is_answer);
-        let Ok(bytes) = seal::datagram(&self.secret, &wire::Datagram::Digest(digest)) else {
+        let Ok(bytes) = seal::seal_datagram(&self.secret, &wire::Datagram::Digest(digest)) else {
             return;
         };
         self.hub.bytes_out.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -73,7 +73,7 @@
             let ask = wire::Ask { nonce, endpoint: place.endpoint, ..ask.clone() };
             let pending = Pending { target, late_at_ms, round: Rc::clone(&round) };
             self.asks.pending.borrow_mut().insert(nonce, pending);
-            let sealed = seal::datagram(&self.common.secret, &wire::Datagram::Ask(ask));
+            let sealed = seal::seal_datagram(&self.common.secret, &wire::Datagram::Ask(ask));
             if let (Some(socket), Ok(bytes)) = (&self.asks.socket, sealed) {
                 // An ask that does not leave is an endpoint that does not answer.
                 let _ = socket.try_send_to(&bytes, place.work_addr);
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -138,7 +138,7 @@
 
 fn send_all<P>(control: &Control<P>, outgoing: Vec<Outgoing>) {
     for one in outgoing {
-        let bytes = match seal::datagram(&control.secret, &one.message) {
+        let bytes = match seal::seal_datagram(&control.secret, &one.message) {
             Ok(bytes) => bytes,
             Err(error) => {
                 slog::warn!(control.log, "peers not told"; "reason" => error.to_string(),
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -215,7 +215,7 @@
     wanted: Wanted,
 ) -> anyhow::Result<State> {
     let mut stream = TcpStream::connect(from).await?;
-    let request = seal::bytes(&control.secret, &wanted)?;
+    let request = seal::seal_bytes(&control.secret, &wanted)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
     let bytes = read_bytes(&mut stream, MAX_STATE_BYTES).await?;
@@ -282,7 +282,7 @@
             memory: memory(control, wanted.recall),
         }
     };
-    let bytes = seal::bytes(&control.secret, &state)?;
+    let bytes = seal::seal_bytes(&control.secret, &state)?;
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(&bytes).await?;
     stream.shutdown().await?;
--- a/src/link.rs
+++ b/src/link.rs
@@ -199,7 +199,7 @@
         End::Client => (mine.nonce, theirs.nonce),
         End::Server => (theirs.nonce, mine.nonce),
     };
-    let (to_server, to_client) = (secret.link(client, server), secret.link(server, client));
+    let (to_server, to_client) = (secret.link_key(client, server), secret.link_key(server, client));
     let (outgoing, incoming) = match end {
         End::Client => (to_server, to_client),
         End::Server => (to_client, to_server),
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -257,7 +257,7 @@
             drain,
         };
         let datagram = wire::Datagram::LoadAsk(ask);
-        if let Ok(bytes) = seal::datagram(control.secret(), &datagram) {
+        if let Ok(bytes) = seal::seal_datagram(control.secret(), &datagram) {
             let _ = socket.try_send_to(&bytes, load.place.work_addr);
         }
     }
--- a/src/seal.rs
+++ b/src/seal.rs
@@ -50,7 +50,7 @@
 
     /// Derives a link's key from both ends' nonces.
     #[must_use]
-    pub fn link(&self, client: u64, server: u64) -> Self {
+    pub fn link_key(&self, client: u64, server: u64) -> Self {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(&client.to_le_bytes());
         hasher.update(&server.to_le_bytes());
@@ -86,8 +86,8 @@
 ///
 /// # Errors
 /// When the message does not fit a datagram.
-pub fn datagram<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
-    let bytes = bytes(secret, message)?;
+pub fn seal_datagram<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
+    let bytes = seal_bytes(secret, message)?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Reject::Size);
     }
@@ -109,7 +109,7 @@
 ///
 /// # Errors
 /// When the message cannot be encoded.
-pub fn bytes<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
+pub fn seal_bytes<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
     let mut bytes = postcard::to_stdvec(message).map_err(|_| Reject::Message)?;
     let tag = secret.tag(0, &bytes);
     bytes.extend_from_slice(&tag);
--- a/src/side/asks.rs
+++ b/src/side/asks.rs
@@ -30,7 +30,7 @@
 impl Side {
     fn answer(&self, socket: &UdpSocket, to: SocketAddr, offer: Option<wire::Offer>) {
         let Some(offer) = offer else { return };
-        let sealed = seal::datagram(&self.secret, &wire::Datagram::Offer(offer));
+        let sealed = seal::seal_datagram(&self.secret, &wire::Datagram::Offer(offer));
         if let Ok(bytes) = sealed {
             // A lost offer is one offer fewer to choose from.
             let _ = socket.try_send_to(&bytes, to);
--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -107,7 +107,7 @@
             running: 0,
             waiting: 0,
         };
-        let bytes = seal::datagram(&side.secret, &wire::Datagram::Offer(offer));
+        let bytes = seal::seal_datagram(&side.secret, &wire::Datagram::Offer(offer));
         socket.send_to(&bytes.expect("short"), from).await.expect("loopback takes it");
     }
 }
--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -107,11 +107,11 @@
 #[test]
 fn replayed_frame_does_not_open() {
     let mut bytes = Vec::new();
-    Sealer::new(secret().link(1, 2)).seal(&"order".to_owned(), &mut bytes).expect("short");
-    let mut other = Opener::new(secret().link(1, 3));
+    Sealer::new(secret().link_key(1, 2)).seal(&"order".to_owned(), &mut bytes).expect("short");
+    let mut other = Opener::new(secret().link_key(1, 3));
     other.push(&bytes);
     assert_eq!(other.read::<String>(), Err(seal::Reject::Seal));
-    let mut same = Opener::new(secret().link(1, 2));
+    let mut same = Opener::new(secret().link_key(1, 2));
     same.push(&bytes);
     same.push(&bytes);
     assert_eq!(same.read::<String>(), Ok(Some("order".to_owned())));
