--- a/src/usage.rs
+++ b/src/usage.rs
@@ -111,7 +111,7 @@
 
     /// What is here beyond `former`.
     #[must_use]
-    pub fn beyond(&self, former: &Self) -> Self {
+    pub fn minus(&self, former: &Self) -> Self {
         let lines = self
             .lines
             .iter()
@@ -208,7 +208,7 @@
         }
         let empty = Totals::default();
         let before = former.map_or(&empty, |sealed| &sealed.cumulative);
-        let figures = ran.beyond(before);
+        let figures = ran.minus(before);
         let mut cumulative = before.clone();
         cumulative.merge(&figures);
         Self { window, figures, cumulative, nonce }
