--- a/src/queue.rs
+++ b/src/queue.rs
@@ -1,15 +1,15 @@
-//! The queue in front of one endpoint: which request starts next, and which is given up.
+//! The bounded scheduling queue of one endpoint.
 //!
-//! Jobs of all entries come in; out come the next job to start, and the jobs to refuse. Priority,
-//! guarantees and fairness are decided here and only here, where the scarce thing is. Time is an
-//! argument; there is no clock.
+//! The queue receives the jobs of all entries and decides which job starts next and which jobs are
+//! refused. Priorities, guaranteed shares and fairness are enforced only here, next to the endpoint
+//! whose slots are scarce. The current time is passed in; the queue has no clock.
 //!
-//! * Order: the class of the highest priority, unless a class is owed its guaranteed share; then
-//!   that one. Within a class the client account with the least weighted service (`fairness`), and
-//!   within an account the earliest latency target.
-//! * Room: each class has some places of its own, the rest is common. A job that finds no place
-//!   takes one from the lowest unprotected class below its own, else from the account of its own
-//!   class that holds the most, else it is refused.
+//! * Order: the class with the highest priority, unless a class is behind its guaranteed share; that
+//!   class then goes first. Within a class, the client account with the least weighted service
+//!   (see `fairness`); within an account, the job with the earliest latency target.
+//! * Capacity: each class has reserved capacity; the rest is shared. When there is no capacity for
+//!   a job, it evicts a job of the lowest unprotected class below its own, else a job of the account
+//!   that has the most jobs waiting in its own class, else it is refused.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -19,21 +19,23 @@
 use crate::{config, fairness};
 
 slotmap::new_key_type! {
-    /// A waiting job.
+    /// Identifies a waiting job.
     pub struct Ticket;
 }
 
-/// What the queue knows of a class.
+/// Scheduling parameters of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassRule {
-    /// Higher goes first.
+    /// Classes with a higher value go first.
     pub priority: u8,
+    /// Jobs of a protected class are never evicted by jobs of other classes.
     pub protected: bool,
     pub guaranteed_ppm: u64,
 }
 
 impl Started {
-    /// Version of the queue this came out of; another queue must not be told of it.
+    /// Configuration version of the queue that started the job. Progress and completion must be reported
+    /// to that queue only.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -41,7 +43,7 @@
 }
 
 impl ClassRule {
-    /// The rules of all classes of a configuration, by class key.
+    /// Returns the rules of all classes of a configuration, indexed by class key.
     #[must_use]
     pub fn of(config: &config::Config) -> Vec<Self> {
         config
@@ -56,54 +58,56 @@
     }
 }
 
-/// A request as the queue sees it.
+/// A request in the queue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// The owner's own name for it.
+    /// Identifier assigned by the caller of the queue.
     pub id: u64,
     pub class: config::ClassKey,
     pub account: CompactString,
     pub share: u32,
-    /// Expected service: prompt and output.
+    /// Expected service: prompt and output tokens.
     pub estimate_tokens: u64,
-    /// When its latency target is missed.
+    /// Time at which the latency target is missed.
     pub target_at_ms: u64,
-    /// When it is given up.
+    /// Time at which the job is refused if it has not started.
     pub expires_at_ms: u64,
 }
 
-/// A job that has started, with what it was charged.
+/// A job that has started, with the service charged for it.
 #[derive(Clone, Debug)]
 pub struct Started {
     pub job: Job,
     charge: fairness::Charge,
-    /// The queue this came out of.
+    /// Configuration version of the queue that started the job.
     version: u64,
-    /// Tells whether the class's account of its share is still the one this job was charged to.
+    /// Backlog period of the class at the start. The class's `served_tokens` are only corrected while this
+    /// period lasts.
     backlog: u64,
 }
 
-/// What became of a job that was pushed.
+/// Result of [`Queue::push`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PushOutcome {
     Queued(Ticket),
-    /// It waits, in the place of this one, which is refused.
+    /// The job is queued; the contained job was evicted for it and has to be refused.
     QueuedEvicting(Ticket, Job),
-    /// There is no place for it.
+    /// The queue has no capacity for the job.
     Refused(Job),
 }
 
+/// The waiting jobs of one class.
 #[derive(Debug, Default)]
-struct Lane {
+struct ClassQueue {
     counters: fairness::Counters,
     accounts: HashMap<CompactString, BTreeSet<(u64, Ticket)>>,
     waiting: usize,
     reserved: usize,
-    /// The endpoint's whole service when the class last began to wait.
+    /// Value of `Queue::total_tokens` when the current backlog period began.
     since_tokens: u64,
-    /// Service of this class since then.
+    /// Service of this class in the current backlog period.
     served_tokens: u64,
-    /// Counts the times the class began to wait.
+    /// Number of the current backlog period, which begins when a job arrives at an empty class queue.
     backlog: u64,
 }
 
@@ -114,47 +118,48 @@
     rules: Vec<ClassRule>,
     /// Class indices, highest priority first.
     order: Vec<usize>,
-    lanes: Vec<Lane>,
+    classes: Vec<ClassQueue>,
     jobs: SlotMap<Ticket, Job>,
-    give_up: BTreeMap<(u64, Ticket), ()>,
-    common: usize,
+    expiries: BTreeMap<(u64, Ticket), ()>,
+    shared: usize,
     /// Service charged to all classes.
     total_tokens: u64,
-    /// Jobs started since a protected one came.
-    since_protected: u32,
+    /// Jobs started since the last protected job arrived.
+    starts_since_protected: u32,
 }
 
-/// One slot in so many is kept free for protected jobs; none at endpoints with few slots.
-const HEADROOM_PART: usize = 32;
-const LEAST_SLOTS_FOR_HEADROOM: usize = 8;
-/// For so many starts after a protected job has come.
-const PROTECTED_MEMORY_JOBS: u32 = 1_000;
+/// One slot in 32 is kept free for protected jobs.
+const HEADROOM_DIVISOR: usize = 32;
+/// Endpoints with fewer slots keep none free.
+const MIN_SLOTS_FOR_HEADROOM: usize = 8;
+/// Number of job starts after the last protected arrival for which slots are kept free.
+const HEADROOM_AFTER_PROTECTED_JOBS: u32 = 1_000;
 
 impl Queue {
-    /// An empty queue for these classes with this many places, made by a version of the
-    /// configuration.
+    /// Creates an empty queue for the given classes that holds about `capacity` jobs. `version` is the
+    /// configuration version that the rules come from.
     #[must_use]
-    pub fn new(version: u64, rules: Vec<ClassRule>, places: usize) -> Self {
+    pub fn new(version: u64, rules: Vec<ClassRule>, capacity: usize) -> Self {
         let mut order: Vec<usize> = (0..rules.len()).collect();
         order.sort_by_key(|class| std::cmp::Reverse(rules[*class].priority));
-        let lanes: Vec<Lane> = rules
+        let classes: Vec<ClassQueue> = rules
             .iter()
             .map(|rule| {
-                let share = places as u64 * rule.guaranteed_ppm / config::PPM;
-                Lane { reserved: (share as usize).max(1), ..Lane::default() }
+                let share = capacity as u64 * rule.guaranteed_ppm / config::PPM;
+                ClassQueue { reserved: (share as usize).max(1), ..ClassQueue::default() }
             })
             .collect();
-        let reserved: usize = lanes.iter().map(|lane| lane.reserved).sum();
+        let reserved: usize = classes.iter().map(|queue| queue.reserved).sum();
         Self {
             version,
             rules,
             order,
-            lanes,
+            classes,
             jobs: SlotMap::with_key(),
-            give_up: BTreeMap::new(),
-            common: places.saturating_sub(reserved),
+            expiries: BTreeMap::new(),
+            shared: capacity.saturating_sub(reserved),
             total_tokens: 0,
-            since_protected: u32::MAX,
+            starts_since_protected: u32::MAX,
         }
     }
 
@@ -168,30 +173,30 @@
         self.jobs.is_empty()
     }
 
-    /// Jobs of a class that wait.
+    /// Returns the number of waiting jobs of a class.
     #[must_use]
     pub fn waiting(&self, class: config::ClassKey) -> usize {
-        self.lanes[usize::from(class.0)].waiting
+        self.classes[usize::from(class.0)].waiting
     }
 
-    /// Jobs that would go before a new one of this class and account.
+    /// Estimates the number of waiting jobs that would start before a new job of this class and account.
     ///
-    /// Within the class accounts take turns, so of another account's jobs only as many go before as
-    /// this account has itself, by their shares. Were all of them counted, a flooding account would
-    /// make the endpoint look too slow for the others, who would be refused though their turn is
-    /// near.
+    /// Accounts of a class take turns, so another account's jobs are counted only up to the number of
+    /// turns that this account needs, weighted by the shares. If all of them were counted, an account
+    /// that floods the queue would make the endpoint look too slow for the others, and their requests
+    /// would be refused although they would start soon.
     #[must_use]
     pub fn jobs_ahead(&self, class: config::ClassKey, account: &str, share: u32) -> usize {
         let own_class = usize::from(class.0);
         let priority = self.rules[own_class].priority;
-        let lanes = self.rules.iter().zip(&self.lanes).enumerate();
-        let higher: usize = lanes
+        let classes = self.rules.iter().zip(&self.classes).enumerate();
+        let higher: usize = classes
             .filter(|(other, (rule, _))| *other != own_class && rule.priority >= priority)
-            .map(|(_, (_, lane))| lane.waiting)
+            .map(|(_, (_, queue))| queue.waiting)
             .sum();
-        let own = self.held(own_class, account);
+        let own = self.waiting_jobs(own_class, account);
         let turns = (own + 1) as u64;
-        let others: u64 = self.lanes[own_class]
+        let others: u64 = self.classes[own_class]
             .accounts
             .iter()
             .filter(|(other, _)| *other != account)
@@ -203,63 +208,63 @@
         higher + own + others as usize
     }
 
-    /// Takes in a job, or says which one is refused.
+    /// Adds a job, evicting another if necessary.
     pub fn push(&mut self, job: Job) -> PushOutcome {
         let class = usize::from(job.class.0);
         if self.rules[class].protected {
-            self.since_protected = 0;
+            self.starts_since_protected = 0;
         }
-        if self.has_place(class) {
+        if self.has_capacity(class) {
             return PushOutcome::Queued(self.insert(job));
         }
-        let victim = self.lower_victim(class).or_else(|| self.hog_victim(&job));
+        let victim = self.lower_class_victim(class).or_else(|| self.same_class_victim(&job));
         match victim.and_then(|ticket| self.remove(ticket)) {
             Some(evicted) => PushOutcome::QueuedEvicting(self.insert(job), evicted),
             None => PushOutcome::Refused(job),
         }
     }
 
-    /// Takes out a job that its caller no longer wants.
+    /// Removes a waiting job, for example after its caller has cancelled it.
     pub fn remove(&mut self, ticket: Ticket) -> Option<Job> {
         let job = self.jobs.remove(ticket)?;
-        self.give_up.remove(&(job.expires_at_ms, ticket));
-        let lane = &mut self.lanes[usize::from(job.class.0)];
-        lane.waiting -= 1;
-        lane.counters.leave(&job.account);
-        if let Some(own) = lane.accounts.get_mut(&job.account) {
+        self.expiries.remove(&(job.expires_at_ms, ticket));
+        let queue = &mut self.classes[usize::from(job.class.0)];
+        queue.waiting -= 1;
+        queue.counters.leave(&job.account);
+        if let Some(own) = queue.accounts.get_mut(&job.account) {
             own.remove(&(job.target_at_ms, ticket));
             if own.is_empty() {
-                lane.accounts.remove(&job.account);
+                queue.accounts.remove(&job.account);
             }
         }
         Some(job)
     }
 
-    /// Takes out the next job to start at an endpoint with so many slots, so many of them taken.
+    /// Removes and returns the next job to start at an endpoint with `slots` slots, `running` of them in use.
     ///
-    /// While protected jobs come, the last few slots are kept for them and for classes that are
-    /// owed their share. A running request is never preempted; without this headroom a hearing
-    /// summary would wait until one of the long requests of lower classes ends.
+    /// While protected jobs arrive, the last few slots are kept for them and for classes that are behind
+    /// their guaranteed share. Running requests are never preempted; without this headroom a protected
+    /// request, such as a hearing summary, would wait until a long request of a lower class ends.
     pub fn pop(&mut self, running: usize, slots: usize) -> Option<Started> {
         if running >= slots {
             return None;
         }
         let in_headroom = running + self.headroom(slots) >= slots;
-        let class = self.owed_class().or_else(|| self.highest_class(in_headroom))?;
-        self.since_protected = self.since_protected.saturating_add(1);
+        let class = self.class_behind_guarantee().or_else(|| self.highest_class(in_headroom))?;
+        self.starts_since_protected = self.starts_since_protected.saturating_add(1);
         let ticket = self.head(class)?;
         let job = self.remove(ticket)?;
-        let lane = &mut self.lanes[class];
-        let charge = lane.counters.start(&job.account, job.share, job.estimate_tokens);
-        lane.served_tokens += job.estimate_tokens;
+        let queue = &mut self.classes[class];
+        let charge = queue.counters.start(&job.account, job.share, job.estimate_tokens);
+        queue.served_tokens += job.estimate_tokens;
         self.total_tokens += job.estimate_tokens;
-        Some(Started { version: self.version, backlog: lane.backlog, charge, job })
+        Some(Started { version: self.version, backlog: queue.backlog, charge, job })
     }
 
-    /// Takes out the jobs whose time to be given up has come.
+    /// Removes and returns the jobs whose `expires_at_ms` has been reached.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Job> {
         let mut expired = Vec::new();
-        while let Some(((at_ms, ticket), ())) = self.give_up.first_key_value() {
+        while let Some(((at_ms, ticket), ())) = self.expiries.first_key_value() {
             if *at_ms > now_ms {
                 break;
             }
@@ -269,17 +274,17 @@
         expired
     }
 
-    /// When [`Self::expire`] next has something to give up.
+    /// Returns the time at which the next job expires.
     #[must_use]
     pub fn next_expiry_ms(&self) -> Option<u64> {
-        self.give_up.first_key_value().map(|((at_ms, _), ())| *at_ms)
+        self.expiries.first_key_value().map(|((at_ms, _), ())| *at_ms)
     }
 
-    /// A started job has had this much service so far.
+    /// Records the total service that a started job has received so far.
     pub fn progress(&mut self, started: &mut Started, tokens: u64) {
         let before = started.charge.tokens;
-        let lane = &mut self.lanes[usize::from(started.job.class.0)];
-        lane.counters.progress(
+        let queue = &mut self.classes[usize::from(started.job.class.0)];
+        queue.counters.progress(
             &started.job.account,
             started.job.share,
             &mut started.charge,
@@ -287,25 +292,25 @@
         );
         let more = started.charge.tokens - before;
         self.total_tokens += more;
-        if lane.backlog == started.backlog {
-            lane.served_tokens += more;
+        if queue.backlog == started.backlog {
+            queue.served_tokens += more;
         }
     }
 
-    /// A started job has ended with this much service in all.
+    /// Records the end of a started job and its total service.
     pub fn finish(&mut self, mut started: Started, tokens: u64) {
         self.progress(&mut started, tokens);
         let back = started.charge.tokens - tokens;
-        let lane = &mut self.lanes[usize::from(started.job.class.0)];
-        lane.counters.finish(&started.job.account, started.job.share, started.charge, tokens);
-        // The endpoint's whole service is not taken back: it only ever grows, so that no class's
-        // start mark can lie above it.
-        if lane.backlog == started.backlog {
-            lane.served_tokens = lane.served_tokens.saturating_sub(back);
+        let queue = &mut self.classes[usize::from(started.job.class.0)];
+        queue.counters.finish(&started.job.account, started.job.share, started.charge, tokens);
+        // `total_tokens` is not corrected downwards: it must never fall below the `since_tokens` of a
+        // class.
+        if queue.backlog == started.backlog {
+            queue.served_tokens = queue.served_tokens.saturating_sub(back);
         }
     }
 
-    /// Takes out everything that waits.
+    /// Removes and returns all waiting jobs.
     pub fn drain(&mut self) -> Vec<Job> {
         let tickets: Vec<Ticket> = self.jobs.keys().collect();
         tickets.into_iter().filter_map(|ticket| self.remove(ticket)).collect()
@@ -316,126 +321,136 @@
         let account = job.account.clone();
         let (target_at_ms, expires_at_ms) = (job.target_at_ms, job.expires_at_ms);
         let ticket = self.jobs.insert(job);
-        self.give_up.insert((expires_at_ms, ticket), ());
-        let lane = &mut self.lanes[class];
-        if lane.waiting == 0 {
-            lane.since_tokens = self.total_tokens;
-            lane.served_tokens = 0;
-            lane.backlog += 1;
+        self.expiries.insert((expires_at_ms, ticket), ());
+        let queue = &mut self.classes[class];
+        if queue.waiting == 0 {
+            queue.since_tokens = self.total_tokens;
+            queue.served_tokens = 0;
+            queue.backlog += 1;
         }
-        lane.waiting += 1;
-        lane.counters.wait(&account);
-        lane.accounts.entry(account).or_default().insert((target_at_ms, ticket));
+        queue.waiting += 1;
+        queue.counters.wait(&account);
+        queue.accounts.entry(account).or_default().insert((target_at_ms, ticket));
         ticket
     }
 
+    /// Returns the next job of a class.
     fn head(&self, class: usize) -> Option<Ticket> {
-        let lane = &self.lanes[class];
-        let account = lane.counters.next()?;
-        lane.accounts.get(account)?.first().map(|(_, ticket)| *ticket)
+        let queue = &self.classes[class];
+        let account = queue.counters.next()?;
+        queue.accounts.get(account)?.first().map(|(_, ticket)| *ticket)
     }
 
+    /// Returns the number of slots to keep free for protected jobs.
     fn headroom(&self, slots: usize) -> usize {
-        if self.since_protected > PROTECTED_MEMORY_JOBS || slots < LEAST_SLOTS_FOR_HEADROOM {
+        if self.starts_since_protected > HEADROOM_AFTER_PROTECTED_JOBS
+            || slots < MIN_SLOTS_FOR_HEADROOM
+        {
             return 0;
         }
-        slots.div_ceil(HEADROOM_PART)
+        slots.div_ceil(HEADROOM_DIVISOR)
     }
 
+    /// Returns the waiting class with the highest priority.
     fn highest_class(&self, only_protected: bool) -> Option<usize> {
         let waiting = |class: &&usize| {
             let eligible = !only_protected || self.rules[**class].protected;
-            eligible && self.lanes[**class].waiting > 0
+            eligible && self.classes[**class].waiting > 0
         };
         let best = *self.order.iter().find(waiting)?;
-        // Classes of equal priority share by service received, else the first in the text would
-        // always go before the others.
+        // Classes of equal priority are ordered by service received; otherwise the class that comes
+        // first in the configuration would always go first.
         let priority = self.rules[best].priority;
         self.order
             .iter()
             .copied()
             .filter(|class| self.rules[*class].priority == priority)
             .filter(|class| waiting(&class))
-            .min_by_key(|class| self.lanes[*class].served_tokens)
+            .min_by_key(|class| self.classes[*class].served_tokens)
     }
 
-    /// The class furthest behind its guaranteed share by at least its next job.
+    /// Returns the class that is furthest behind its guaranteed share, if it is behind by at least the
+    /// estimate of its next job.
     ///
-    /// Without this a class below one with endless demand would wait forever; its caller would see
-    /// nothing but time-outs. The debt grows with all service given while the class waits, so it is
-    /// paid after a bounded amount of other classes' service.
-    fn owed_class(&self) -> Option<usize> {
-        let debts = (0..self.lanes.len()).filter_map(|class| {
-            let lane = &self.lanes[class];
+    /// Without this, a class below one with unlimited demand would starve and its requests would only
+    /// time out. The deficit grows with all service given while the class waits, so the class is served
+    /// after a bounded amount of service to other classes.
+    fn class_behind_guarantee(&self) -> Option<usize> {
+        let deficits = (0..self.classes.len()).filter_map(|class| {
+            let queue = &self.classes[class];
             let cost = self.jobs.get(self.head(class)?)?.estimate_tokens;
-            let all = self.total_tokens - lane.since_tokens;
+            let all = self.total_tokens - queue.since_tokens;
             let due = all as u128 * u128::from(self.rules[class].guaranteed_ppm)
                 / u128::from(config::PPM);
-            let owed = due as i128 - i128::from(lane.served_tokens);
-            (owed >= i128::from(cost)).then_some((owed, class))
+            let deficit = due as i128 - i128::from(queue.served_tokens);
+            (deficit >= i128::from(cost)).then_some((deficit, class))
         });
-        debts.max().map(|(_, class)| class)
+        deficits.max().map(|(_, class)| class)
     }
 
-    fn has_place(&self, class: usize) -> bool {
-        let lane = &self.lanes[class];
-        lane.waiting < lane.reserved || self.common_used() < self.common
+    fn has_capacity(&self, class: usize) -> bool {
+        let queue = &self.classes[class];
+        queue.waiting < queue.reserved || self.shared_used() < self.shared
     }
 
-    fn common_used(&self) -> usize {
-        self.lanes.iter().map(|lane| lane.waiting.saturating_sub(lane.reserved)).sum()
+    fn shared_used(&self) -> usize {
+        self.classes.iter().map(|queue| queue.waiting.saturating_sub(queue.reserved)).sum()
     }
 
-    /// A job in a common place of the lowest unprotected class below the given one.
-    fn lower_victim(&self, class: usize) -> Option<Ticket> {
+    /// Returns a job of the lowest unprotected class below the given one that uses shared capacity.
+    fn lower_class_victim(&self, class: usize) -> Option<Ticket> {
         let priority = self.rules[class].priority;
         let lower = self.order.iter().rev().copied().find(|lower| {
-            let (rule, lane) = (&self.rules[*lower], &self.lanes[*lower]);
-            rule.priority < priority && !rule.protected && lane.waiting > lane.reserved
+            let (rule, queue) = (&self.rules[*lower], &self.classes[*lower]);
+            rule.priority < priority && !rule.protected && queue.waiting > queue.reserved
         })?;
-        let hog = self.hog(lower)?;
-        self.last_of(lower, hog)
+        let largest_account = self.largest_account(lower)?;
+        self.latest_job(lower, largest_account)
     }
 
-    /// A job of the account that holds most places of the newcomer's class, if the newcomer's own
-    /// account holds clearly fewer.
+    /// Returns a job of the account with the most waiting jobs in the new job's class, weighted by share,
+    /// if the account of the new job would still have fewer.
     ///
-    /// Without this one account's flood would fill the class's places, and the others' requests,
-    /// few as they are, would be refused at the door.
-    fn hog_victim(&self, newcomer: &Job) -> Option<Ticket> {
-        let class = usize::from(newcomer.class.0);
-        let hog = self.hog(class)?;
-        let own = self.held(class, &newcomer.account) + 1;
-        let held = self.held(class, hog);
-        let hog_share = self.share_of(class, hog)?;
-        let own_weighted = own as u64 * u64::from(hog_share);
-        let hog_weighted = held as u64 * u64::from(newcomer.share);
-        (own_weighted < hog_weighted).then(|| self.last_of(class, hog)).flatten()
+    /// Without this, one account could fill the capacity of the class, and the few requests of other
+    /// accounts would be refused on arrival.
+    fn same_class_victim(&self, new_job: &Job) -> Option<Ticket> {
+        let class = usize::from(new_job.class.0);
+        let largest_account = self.largest_account(class)?;
+        let own = self.waiting_jobs(class, &new_job.account) + 1;
+        let waiting_jobs = self.waiting_jobs(class, largest_account);
+        let largest_share = self.share_of(class, largest_account)?;
+        let own_weighted = own as u64 * u64::from(largest_share);
+        let largest_weighted = waiting_jobs as u64 * u64::from(new_job.share);
+        (own_weighted < largest_weighted).then(|| self.latest_job(class, largest_account)).flatten()
     }
 
-    fn hog(&self, class: usize) -> Option<&CompactString> {
-        let lane = &self.lanes[class];
-        let weighted = |account: &CompactString, held: usize| {
+    /// Returns the account with the most waiting jobs in a class, weighted by share.
+    fn largest_account(&self, class: usize) -> Option<&CompactString> {
+        let queue = &self.classes[class];
+        let weighted = |account: &CompactString, waiting_jobs: usize| {
             let share = self.share_of(class, account).unwrap_or(1);
-            held as u64 * 1024 / u64::from(share.max(1))
+            waiting_jobs as u64 * 1024 / u64::from(share.max(1))
         };
-        lane.accounts
+        queue
+            .accounts
             .iter()
             .map(|(account, own)| (weighted(account, own.len()), account))
             .max()
             .map(|(_, account)| account)
     }
 
-    fn held(&self, class: usize, account: &str) -> usize {
-        self.lanes[class].accounts.get(account).map_or(0, BTreeSet::len)
+    /// Returns the number of waiting jobs of an account in a class.
+    fn waiting_jobs(&self, class: usize, account: &str) -> usize {
+        self.classes[class].accounts.get(account).map_or(0, BTreeSet::len)
     }
 
     fn share_of(&self, class: usize, account: &CompactString) -> Option<u32> {
-        let (_, ticket) = self.lanes[class].accounts.get(account)?.first()?;
+        let (_, ticket) = self.classes[class].accounts.get(account)?.first()?;
         self.jobs.get(*ticket).map(|job| job.share)
     }
 
-    fn last_of(&self, class: usize, account: &CompactString) -> Option<Ticket> {
-        self.lanes[class].accounts.get(account)?.last().map(|(_, ticket)| *ticket)
+    /// Returns the job of an account with the latest latency target.
+    fn latest_job(&self, class: usize, account: &CompactString) -> Option<Ticket> {
+        self.classes[class].accounts.get(account)?.last().map(|(_, ticket)| *ticket)
     }
 }
