--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,8 +1,9 @@
-//! Which endpoints are asked, and which offer is taken.
+//! Endpoint selection: which endpoints are asked for an offer, and how offers are compared.
 //!
-//! In come the endpoints that take work; out come the few to ask: the prefix's rendezvous choice,
-//! and others at random, those of the own availability zone first. The earliest offer is taken.
-//! (The power of two choices, Mitzenmacher 2001; probing as in Prequal, Wydrowski et al., NSDI 2024.)
+//! From the endpoints that accept work, a few are picked: the one chosen by rendezvous hashing of the
+//! prompt prefix, and others at random, preferring the own availability zone. The offer with the
+//! lowest cost wins. (The power of two choices, Mitzenmacher 2001; probing as in Prequal, Wydrowski
+//! et al., NSDI 2024.)
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,15 +14,15 @@
 
 use crate::{membership, wire};
 
-/// First time an endpoint that did not answer is left out; doubled with each further silence.
-const FIRST_SILENCE_MS: u64 = 500;
-const LONGEST_SILENCE_MS: u64 = 8_000;
-/// What a known prefix is worth against a later first token.
-const PREFIX_BONUS_MS: u32 = 30;
-/// What crossing to another availability zone costs.
-const OTHER_ZONE_MS: u32 = 3;
+/// First backoff of an endpoint that did not answer; doubled with each further timeout.
+const MIN_BACKOFF_MS: u64 = 500;
+const MAX_BACKOFF_MS: u64 = 8_000;
+/// Cost of an endpoint that does not have the prompt prefix cached.
+const PREFIX_MISS_COST_MS: u32 = 30;
+/// Cost of an endpoint in another availability zone.
+const OTHER_ZONE_COST_MS: u32 = 3;
 
-/// Names one endpoint.
+/// Address of one endpoint: its side and its index there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
     pub work_addr: SocketAddr,
@@ -41,35 +42,36 @@
     length_ms: u64,
 }
 
-/// Endpoints that did not answer lately.
+/// Backoffs of the endpoints that did not answer recently.
 #[derive(Clone, Debug, Default)]
 pub struct Backoffs {
     targets: HashMap<Target, Backoff>,
 }
 
 impl Backoffs {
-    /// The endpoint did not answer an ask, or its link broke.
+    /// Records that the endpoint did not answer an ask or that its link broke; starts a backoff unless one
+    /// is running.
     pub fn record_timeout(&mut self, target: Target, now_ms: u64) {
-        let silence = self.targets.entry(target).or_insert(Backoff { until_ms: 0, length_ms: 0 });
-        if silence.until_ms > now_ms {
+        let backoff = self.targets.entry(target).or_insert(Backoff { until_ms: 0, length_ms: 0 });
+        if backoff.until_ms > now_ms {
             return;
         }
-        silence.length_ms = (silence.length_ms * 2).clamp(FIRST_SILENCE_MS, LONGEST_SILENCE_MS);
-        silence.until_ms = now_ms + silence.length_ms;
+        backoff.length_ms = (backoff.length_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+        backoff.until_ms = now_ms + backoff.length_ms;
     }
 
-    /// The endpoint answered.
+    /// Records an answer of the endpoint, which ends its backoff.
     pub fn record_answer(&mut self, target: Target) {
         self.targets.remove(&target);
     }
 
     #[must_use]
     pub fn is_backed_off(&self, target: Target, now_ms: u64) -> bool {
-        self.targets.get(&target).is_some_and(|silence| silence.until_ms > now_ms)
+        self.targets.get(&target).is_some_and(|backoff| backoff.until_ms > now_ms)
     }
 }
 
-/// Picks the endpoints to ask, at most `width`, without those in `tried`.
+/// Picks at most `width` endpoints to ask, leaving out those that `avoid` matches.
 pub fn pick<'a>(
     places: &'a [membership::Place],
     own_zone: &str,
@@ -84,8 +86,8 @@
         open.iter().copied().filter(|place| place.zone == own_zone).collect();
     let mut picked: Vec<&membership::Place> = Vec::with_capacity(width);
     picked.extend(rendezvous(&open, prefix));
-    // One endpoint of another zone is always among those asked where there is one, else a zone
-    // whose endpoints are all slow would keep its callers while the next zone idles.
+    // At least one endpoint of another zone is asked if there is one. Otherwise a zone whose endpoints
+    // are all slow would keep its requests while another zone is idle.
     let near_wanted = if near.len() < open.len() { width.saturating_sub(1) } else { width };
     for (group, wanted) in [(&near, near_wanted), (&open, width)] {
         let left: Vec<&membership::Place> =
@@ -100,10 +102,10 @@
     places.iter().copied().max_by_key(|place| xxh3::xxh3_64_with_seed(place.id.as_bytes(), prefix))
 }
 
-/// The offer to take, out of those that came; lower is better.
+/// Returns the cost of an offer, by which offers are compared; lower is better.
 #[must_use]
 pub fn cost_ms(offer: &wire::Offer, same_zone: bool) -> u32 {
-    let zone_ms = if same_zone { 0 } else { OTHER_ZONE_MS };
-    let prefix_ms = if offer.knows_prefix { 0 } else { PREFIX_BONUS_MS };
+    let zone_ms = if same_zone { 0 } else { OTHER_ZONE_COST_MS };
+    let prefix_ms = if offer.knows_prefix { 0 } else { PREFIX_MISS_COST_MS };
     offer.first_token_ms.saturating_add(zone_ms).saturating_add(prefix_ms)
 }
