--- a/src/fairness.rs
+++ b/src/fairness.rs
@@ -1,18 +1,19 @@
-//! Fairness between client accounts of one class: virtual token counters.
+//! Fair sharing between the client accounts of one class with virtual token counters.
 //!
 //! The account with the least weighted service goes first. Output lengths are unknown, so a request
-//! is charged an estimate when it starts and the charge is corrected as its output grows and when
-//! it ends. An account that comes back from idle is lifted to the least counter of those waiting:
-//! idleness earns no credit. (Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024.)
+//! is charged an estimate when it starts, and the charge is corrected while its output grows and when
+//! it ends. The counter of an account that was idle is raised to the lowest counter of the waiting
+//! accounts, so that idle time earns no credit. (Sheng et al., "Fairness in Serving Large Language
+//! Models", OSDI 2024.)
 
 use std::collections::{BTreeSet, HashMap};
 
 use compact_str::CompactString;
 
-/// Tokens of service, scaled so that weights divide evenly enough.
+/// Scale of the virtual counters, so that the division by a share loses little precision.
 const SCALE: u64 = 1024;
 
-/// Service charged to a running request, to be corrected.
+/// Service charged for a running request; corrected as the request progresses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Charge {
     pub tokens: u64,
@@ -25,17 +26,17 @@
     running: u32,
 }
 
-/// Counters of the accounts of one class at one endpoint.
+/// Virtual token counters of the accounts of one class at one endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     accounts: HashMap<CompactString, Counter>,
     waiting: BTreeSet<(u64, CompactString)>,
-    /// Where an account starts when none waits.
+    /// Initial counter of an account when no account waits.
     floor: u64,
 }
 
 impl Counters {
-    /// A request of the account begins to wait.
+    /// Records that a request of the account begins to wait.
     pub fn wait(&mut self, account: &CompactString) {
         let least = self.waiting.first().map_or(self.floor, |(counter, _)| *counter);
         let counter = self.accounts.entry(account.clone()).or_default();
@@ -48,7 +49,7 @@
         counter.waiting += 1;
     }
 
-    /// A waiting request of the account starts or is given up.
+    /// Records that a waiting request of the account has started or was removed.
     pub fn leave(&mut self, account: &CompactString) {
         let Some(counter) = self.accounts.get_mut(account) else {
             return;
@@ -58,23 +59,23 @@
             self.waiting.remove(&(counter.virtual_tokens, account.clone()));
             self.floor = self.floor.max(counter.virtual_tokens);
         }
-        self.forget_idle(account);
+        self.evict_idle(account);
     }
 
-    /// The account whose turn it is.
+    /// Returns the account that goes next.
     #[must_use]
     pub fn next(&self) -> Option<&CompactString> {
         self.waiting.first().map(|(_, account)| account)
     }
 
-    /// A request of the account starts, with an estimate of its service.
+    /// Records the start of a request and charges the estimate of its service.
     pub fn start(&mut self, account: &CompactString, share: u32, estimate: u64) -> Charge {
         self.accounts.entry(account.clone()).or_default().running += 1;
         self.add(account, share, estimate);
         Charge { tokens: estimate }
     }
 
-    /// The request has had this much service in all; more than charged is charged now.
+    /// Records the total service of a request so far and charges what exceeds the charge.
     pub fn progress(
         &mut self,
         account: &CompactString,
@@ -88,18 +89,18 @@
         }
     }
 
-    /// The request has ended with this much service in all; the charge becomes exactly that.
+    /// Records the end of a request and corrects its charge to the total service.
     pub fn finish(&mut self, account: &CompactString, share: u32, mut charge: Charge, tokens: u64) {
         self.progress(account, share, &mut charge, tokens);
-        let back = (charge.tokens - tokens) * SCALE / u64::from(share.max(1));
-        self.shift(account, |virtual_tokens| virtual_tokens.saturating_sub(back));
+        let refund = (charge.tokens - tokens) * SCALE / u64::from(share.max(1));
+        self.shift(account, |virtual_tokens| virtual_tokens.saturating_sub(refund));
         if let Some(counter) = self.accounts.get_mut(account) {
             counter.running = counter.running.saturating_sub(1);
         }
-        self.forget_idle(account);
+        self.evict_idle(account);
     }
 
-    /// Accounts held in memory.
+    /// Returns the number of accounts in memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts.len()
@@ -111,8 +112,8 @@
     }
 
     fn add(&mut self, account: &CompactString, share: u32, tokens: u64) {
-        let more = tokens * SCALE / u64::from(share.max(1));
-        self.shift(account, |virtual_tokens| virtual_tokens.saturating_add(more));
+        let added = tokens * SCALE / u64::from(share.max(1));
+        self.shift(account, |virtual_tokens| virtual_tokens.saturating_add(added));
     }
 
     fn shift(&mut self, account: &CompactString, to: impl Fn(u64) -> u64) {
@@ -127,9 +128,9 @@
         }
     }
 
-    /// Drops an account that is idle and not ahead of the floor, so that memory follows the
-    /// accounts in use and not all that ever came.
-    fn forget_idle(&mut self, account: &CompactString) {
+    /// Removes an account that is idle and whose counter is not above the floor, so that memory grows with
+    /// the accounts in use, not with all accounts ever seen.
+    fn evict_idle(&mut self, account: &CompactString) {
         let floor = self.waiting.first().map_or(self.floor, |(counter, _)| *counter);
         if let Some(counter) = self.accounts.get(account)
             && counter.waiting == 0
