--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,17 +1,17 @@
-//! Token budgets of client accounts, without a global counter.
+//! Admission control of client accounts: token buckets without a global counter.
 //!
-//! Each entry holds its part of an account's rate: the rate over the number of entries that are
-//! ready. What an answer costs is known only at its end, so a request is admitted while the
-//! account's balance is above zero and its cost is taken afterwards, which may bring the balance
-//! below; the account then waits until it has grown back. A balancer that spreads evenly gives the
-//! account its whole rate; one that does not gives it less, never more than all parts together.
+//! Each entry enforces its part of an account's rate: the rate divided by the number of ready entries.
+//! The cost of an answer is known only when it ends, so a request is admitted while the balance of the
+//! account is positive, and its cost is deducted afterwards. The balance may become negative; the
+//! account then waits until it is positive again. If the load balancer spreads requests evenly, an
+//! account gets its full rate; otherwise it gets less, but never more.
 
 use std::collections::HashMap;
 
 use compact_str::CompactString;
 
-/// Seconds of rate that an idle account saves up.
-const SAVED_S: f64 = 5.0;
+/// Bucket size, in seconds of the rate.
+const BUCKET_S: f64 = 5.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Balance {
@@ -19,21 +19,21 @@
     at_ms: u64,
 }
 
-/// Balances of the accounts at one traffic thread.
+/// Token buckets of the accounts in one traffic thread.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     accounts: HashMap<CompactString, Balance>,
 }
 
 impl Budgets {
-    /// Admits a request, or says when the account is in balance again.
+    /// Admits a request if the balance of the account is positive.
     ///
     /// `rate_per_s` is this thread's part of the account's rate.
     ///
     /// # Errors
-    /// The wait in ms until a request would be admitted.
+    /// Returns the time in ms until a request would be admitted.
     pub fn admit(&mut self, account: &str, rate_per_s: f64, now_ms: u64) -> Result<(), u32> {
-        let balance = self.grown(account, rate_per_s, now_ms);
+        let balance = self.refilled(account, rate_per_s, now_ms);
         if balance.tokens > 0.0 {
             return Ok(());
         }
@@ -41,25 +41,26 @@
         Err(wait_ms.min(f64::from(u32::MAX)) as u32)
     }
 
-    /// Takes what an ended request has cost.
+    /// Deducts the cost of a finished request.
     pub fn charge(&mut self, account: &str, rate_per_s: f64, tokens: u64, now_ms: u64) {
-        self.grown(account, rate_per_s, now_ms).tokens -= tokens as f64;
+        self.refilled(account, rate_per_s, now_ms).tokens -= tokens as f64;
     }
 
-    fn grown(&mut self, account: &str, rate_per_s: f64, now_ms: u64) -> &mut Balance {
-        let most = rate_per_s * SAVED_S;
+    /// Refills the bucket of an account up to `now_ms` and returns it.
+    fn refilled(&mut self, account: &str, rate_per_s: f64, now_ms: u64) -> &mut Balance {
+        let capacity = rate_per_s * BUCKET_S;
         let balance = self
             .accounts
             .entry(CompactString::from(account))
-            .or_insert(Balance { tokens: most, at_ms: now_ms });
-        let passed_s = now_ms.saturating_sub(balance.at_ms) as f64 / 1000.0;
-        balance.tokens = (balance.tokens + rate_per_s * passed_s).min(most);
+            .or_insert(Balance { tokens: capacity, at_ms: now_ms });
+        let elapsed_s = now_ms.saturating_sub(balance.at_ms) as f64 / 1000.0;
+        balance.tokens = (balance.tokens + rate_per_s * elapsed_s).min(capacity);
         balance.at_ms = now_ms;
         balance
     }
 }
 
-/// The part of an account's rate that one of `threads` threads of one of `entries` entries holds.
+/// Returns the part of an account's rate for one of `threads` threads of one of `entries` entries.
 #[must_use]
 pub fn thread_rate_per_s(rate_per_s: u32, entries: usize, threads: usize) -> f64 {
     f64::from(rate_per_s) / (entries.max(1) * threads.max(1)) as f64
