--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,14 +1,14 @@
-//! The retry budget: a token bucket that successes fill and retries empty.
+//! The retry budget: a token bucket that first sends fill and retries empty.
 //!
-//! When a third of the endpoints die, each failed request would be sent again, and the survivors
-//! would get a multiple of their load just when they have the least room. The bucket caps retries
-//! at a share of all requests, whatever fails.
+//! When a third of the endpoints fail, retrying every failed request would multiply the load of the
+//! remaining endpoints just when they have the least spare capacity. The bucket limits retries to a
+//! fixed share of all requests, whatever fails.
 
-/// Retries allowed for each request, in thousandths.
+/// Retries earned by each request, in thousandths.
 const EARNED_MILLI: u64 = 100;
-/// One retry.
+/// Cost of one retry.
 const SPENT_MILLI: u64 = 1000;
-/// Most that is saved up: this many retries at once.
+/// Bucket size, which allows 20 retries at once.
 const CAP_MILLI: u64 = 20 * SPENT_MILLI;
 
 /// The retry budget of one traffic thread.
@@ -24,12 +24,12 @@
 }
 
 impl Budget {
-    /// A request has been sent for the first time.
+    /// Adds the share of a retry that a first send earns.
     pub fn earn(&mut self) {
         self.milli = (self.milli + EARNED_MILLI).min(CAP_MILLI);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Deducts one retry if the balance allows it; returns whether it did.
     pub fn spend(&mut self) -> bool {
         if self.milli < SPENT_MILLI {
             return false;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Most retries that `requests` requests can cause.
+/// Returns the maximum number of retries that `requests` requests can cause.
 #[must_use]
 pub fn max_retries(requests: u64) -> u64 {
     (CAP_MILLI + requests * EARNED_MILLI) / SPENT_MILLI
