--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,10 +1,10 @@
-//! Leases: being in charge of a duty, for a term, with a fencing number.
+//! Leases with terms and fencing tokens, which elect the holder of a duty.
 //!
-//! Pure: time comes in as readings of the daemon's own boot clock, what the store said comes in as
-//! events, and what to do next comes out. Wall clocks are never compared. The holder counts its
-//! term from before it sent the write; a rival counts the same version's standing from when it
-//! first saw it, and waits a margin longer. So a rival's takeover can only succeed after the term
-//! as the holder counts it has run out, whatever became of answers in between.
+//! The module does no I/O: it takes readings of the daemon's own boot clock and the answers of the store,
+//! and returns the next step. Wall clocks are never compared. A holder counts its term from before it
+//! sent the write. A rival counts the term of the same record version from when it first saw it, and
+//! waits for an additional margin. A takeover can therefore only succeed after the term has ended for
+//! the holder, even if answers of the store are lost or late.
 
 mod contender;
 
@@ -13,7 +13,7 @@
 
 pub use contender::Contender;
 
-/// Fencing number of a term: grows with each change of holder.
+/// Fencing token of a term; increases with each change of holder.
 #[derive(
     Clone,
     Copy,
@@ -30,89 +30,89 @@
 )]
 pub struct Epoch(pub u64);
 
-/// How long terms are and how often they are looked after.
+/// Durations and intervals of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Length of a term.
     pub term_ms: u64,
-    /// What a rival waits beyond the term, and a holder stops before its end, for clocks that run at
-    /// different rates.
+    /// How long a rival waits after the end of a term, and how long before the end a holder stops, to allow
+    /// for clocks that run at different rates.
     pub margin_ms: u64,
-    /// How often a holder renews.
+    /// How often a holder renews its term.
     pub renew_ms: u64,
     /// How often a rival reads the record.
     pub read_ms: u64,
-    /// How often the outcome of an unanswered write is asked for.
+    /// How often the record is read to learn the outcome of an unanswered write.
     pub settle_ms: u64,
 }
 
-/// Timing of the duties of side processes and entries: orders to endpoints may take seconds. The
-/// margin is a thousandth of the term many times over, ten times what a quartz clock drifts.
+/// Timing of the duties of sides and entries, where orders to endpoints may take seconds. The margin is
+/// many thousandths of the term, ten times the drift of a quartz clock.
 pub const TIMING: Timing =
     Timing { term_ms: 6_000, margin_ms: 500, renew_ms: 2_000, read_ms: 2_000, settle_ms: 500 };
 
-/// What the store holds of a lease.
+/// The stored record of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     pub holder: CompactString,
-    /// Tells a restarted holder from its former self.
+    /// Start of the holder; distinguishes a restarted daemon from its earlier process.
     pub boot: u64,
     pub epoch: Epoch,
     pub term_ms: u64,
-    /// Tells one write from another, to settle a lost answer by reading.
+    /// Identifies the write, so that a read shows whether an unanswered write took effect.
     pub nonce: u64,
 }
 
-/// A record with the store's version of it; version zero: no such object.
+/// A lease record with its version in the store; version zero means that there is no record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionedRecord {
     pub version: u64,
     pub record: Option<Record>,
 }
 
-/// A write to make.
+/// A conditional write of the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// Zero: create.
+    /// Version that the write replaces; zero creates the record.
     pub if_version: u64,
     pub record: Record,
 }
 
-/// What a holder tells its rivals of its term, beside the store.
+/// Notice about a term that its holder sends directly to its rivals.
 ///
-/// A rival that knows when the term ends need not read the record to see how long it stands, and who
-/// stops gives its term back also while the store is away. What is told never makes two holders: a
-/// rival still replaces the very version that it was told of.
+/// A rival that knows when the term ends does not have to watch the record for a whole term, and a holder
+/// that stops can release the lease while the store is unavailable. A notice cannot lead to two holders,
+/// because a rival still has to replace exactly the record version that the notice names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermNotice {
     /// The store's version of the record.
     pub version: u64,
     pub boot: u64,
     pub epoch: Epoch,
-    /// How long the holder may still act.
+    /// Remaining time in which the holder may act.
     pub left_ms: u64,
-    /// How long ago it acted last.
+    /// Time since the holder last acted.
     pub idle_ms: u64,
-    /// The holder will never act in this epoch again.
+    /// Set when the holder will never act in this epoch again.
     pub is_over: bool,
 }
 
 impl TermNotice {
-    /// The same, said this much later.
+    /// Returns the notice as it holds `elapsed_ms` later.
     #[must_use]
-    pub fn after(self, passed_ms: u64) -> Self {
-        let left_ms = self.left_ms.saturating_sub(passed_ms);
-        Self { left_ms, idle_ms: self.idle_ms.saturating_add(passed_ms), ..self }
+    pub fn after(self, elapsed_ms: u64) -> Self {
+        let left_ms = self.left_ms.saturating_sub(elapsed_ms);
+        Self { left_ms, idle_ms: self.idle_ms.saturating_add(elapsed_ms), ..self }
     }
 }
 
-/// What to do next.
+/// Next step of a contender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read the record.
     Read,
-    /// Write this; report the outcome.
+    /// Write the record and report the outcome.
     Write(Write),
-    /// Nothing until this time.
+    /// Do nothing until this time.
     WaitUntil(u64),
 }
