--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -1,175 +1,181 @@
-//! One daemon's part in the contest for a lease.
+//! The state machine of one daemon that competes for a lease.
 //!
-//! A contender holds, watches another's term, or has a write whose outcome is open; in each of these
-//! it says what to do next and takes what came of it.
+//! A contender holds the lease, watches the term of another holder, or waits for the outcome of a write.
+//! In each state it returns the next step and takes its result.
 
 use compact_str::CompactString;
 
 use super::{Epoch, Record, Step, TermNotice, Timing, VersionedRecord, Write};
 
+/// The term held by this daemon.
 #[derive(Clone, Debug)]
 struct Holding {
     version: u64,
     epoch: Epoch,
-    /// When the write that began or renewed the term was sent.
-    from_ms: u64,
+    /// Time at which the write that began or renewed the term was sent.
+    start_ms: u64,
 }
 
+/// The newest known record.
 #[derive(Clone, Debug)]
-struct Standing {
+struct KnownRecord {
     seen: VersionedRecord,
-    /// When it may be replaced.
+    /// Time from which the record may be replaced.
     free_at_ms: u64,
 }
 
+/// A write whose outcome is not known yet.
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingWrite {
     write: Write,
     sent_ms: u64,
 }
 
-/// One daemon's part in the contest for one lease.
+/// One daemon that competes for one lease.
 #[derive(Clone, Debug)]
 pub struct Contender {
     name: CompactString,
     boot: u64,
-    terms: Timing,
-    /// No other live process can have this name.
-    is_sole: bool,
+    timing: Timing,
+    /// Set if no other running process can have this name.
+    has_exclusive_name: bool,
     nonce: u64,
     holding: Option<Holding>,
-    standing: Option<Standing>,
-    /// Writes on the same version whose outcome is open. The store takes one of them at most.
-    pending: Vec<Pending>,
-    /// None of the pending writes had taken effect when the record was last read.
+    known_record: Option<KnownRecord>,
+    /// Unresolved writes that replace the same version; the store accepts at most one of them.
+    pending: Vec<PendingWrite>,
+    /// Set if no pending write had taken effect when the record was last read.
     may_write_again: bool,
     next_read_ms: u64,
     releasing: bool,
-    /// The last term held here, by version.
+    /// Record version and epoch of the last term held by this daemon.
     last_held: Option<(u64, Epoch)>,
-    /// When this daemon last acted under the lease.
+    /// Time at which this daemon last acted under the lease.
     acted_ms: Option<u64>,
-    /// A start that has said that it never acts in this epoch or an older one again.
-    over: Option<(u64, Epoch)>,
+    /// Boot number and epoch of a holder that will not act again in that epoch or an older one.
+    ended_by_notice: Option<(u64, Epoch)>,
 }
 
 impl Contender {
-    /// A daemon that has just started, with a number of this start of its own.
+    /// Creates a contender for a daemon that has just started; `boot` identifies this start.
     #[must_use]
-    pub fn new(name: CompactString, boot: u64, terms: Timing) -> Self {
+    pub fn new(name: CompactString, boot: u64, timing: Timing) -> Self {
         Self {
             name,
             boot,
-            terms,
-            is_sole: false,
+            timing,
+            has_exclusive_name: false,
             nonce: 0,
             holding: None,
-            standing: None,
+            known_record: None,
             pending: Vec::new(),
             may_write_again: false,
             next_read_ms: 0,
             releasing: false,
             last_held: None,
             acted_ms: None,
-            over: None,
+            ended_by_notice: None,
         }
     }
 
-    /// The same, under a name that holds an address which this process has bound. A record of an
-    /// earlier start under this name is of a process that has ended, and need not be waited for: when
-    /// all entries are killed at once, the duties are done again a term earlier.
+    /// Creates a contender whose name contains an address that this process has bound. A record of an
+    /// earlier start under this name then belongs to a process that has ended, so it is replaced without
+    /// waiting. After all entries are killed at once, the duties resume one term earlier.
     #[must_use]
-    pub fn with_exclusive_name(name: CompactString, boot: u64, terms: Timing) -> Self {
-        Self { is_sole: true, ..Self::new(name, boot, terms) }
+    pub fn with_exclusive_name(name: CompactString, boot: u64, timing: Timing) -> Self {
+        Self { has_exclusive_name: true, ..Self::new(name, boot, timing) }
     }
 
-    /// The fencing number, while the term surely runs.
+    /// Returns the fencing token while the term is guaranteed to be valid.
     ///
-    /// To be asked right before each act under the lease: a process that was frozen past its term
-    /// and woken gets `None` here, on its own clock, before it can act.
+    /// Must be called right before each action under the lease: a process that was frozen until after the
+    /// end of its term gets `None`, by its own clock, before it can act.
     #[must_use]
     pub fn epoch(&self, now_ms: u64) -> Option<Epoch> {
         let holding = self.holding.as_ref().filter(|_| !self.releasing)?;
         (now_ms < self.end_ms(holding)).then_some(holding.epoch)
     }
 
-    /// The fencing number if at least `left_ms` of the term are left.
+    /// Returns the fencing token if at least `left_ms` of the term remain.
     #[must_use]
     pub fn epoch_with_remaining(&self, now_ms: u64, left_ms: u64) -> Option<Epoch> {
         self.epoch(now_ms + left_ms)
     }
 
-    /// Whether only stepping on settles something: a write's outcome is open, or a term runs that
-    /// has to be renewed or given back.
+    /// Returns whether [`Self::step`] has to be called: a write is unresolved, or a term has to be renewed or
+    /// released.
     #[must_use]
     pub fn must_step(&self) -> bool {
         !self.pending.is_empty() || self.holding.is_some()
     }
 
-    /// What to do now for one who does not contend but may have to soon: read from time to time.
+    /// Returns the next step of a standby, which reads the record periodically but does not write.
     ///
-    /// Who sees a record for the first time has to wait for its whole term. Who has watched it
-    /// stand takes over as soon as the term is over.
+    /// A contender that sees a record for the first time has to wait for its whole term. A standby that has
+    /// watched the record takes over as soon as the term ends.
     pub fn step_passive(&mut self, now_ms: u64) -> Step {
         self.read_when_due(now_ms)
     }
 
-    /// Who holds the lease, as last seen.
+    /// Returns the newest known record, which names the holder.
     #[must_use]
     pub fn holder(&self) -> Option<&Record> {
-        self.standing.as_ref()?.seen.record.as_ref()
+        self.known_record.as_ref()?.seen.record.as_ref()
     }
 
-    /// What to do now.
+    /// Returns the next step.
     pub fn step(&mut self, now_ms: u64) -> Step {
         if let Some(last) = self.pending.last().map(|pending| pending.write.clone()) {
-            return self.settle(&last, now_ms);
+            return self.resolve_pending(&last, now_ms);
         }
         if let Some(holding) = self.holding.clone() {
             return self.hold(&holding, now_ms);
         }
-        let Some(standing) = self.standing.clone() else {
+        let Some(known) = self.known_record.clone() else {
             return self.read_when_due(now_ms);
         };
-        if self.releasing || now_ms < standing.free_at_ms {
+        if self.releasing || now_ms < known.free_at_ms {
             return self.read_when_due(now_ms);
         }
-        let epoch = standing.seen.record.map_or(Epoch(1), |record| Epoch(record.epoch.0 + 1));
-        self.write(standing.seen.version, epoch, self.terms.term_ms, now_ms)
+        let epoch = known.seen.record.map_or(Epoch(1), |record| Epoch(record.epoch.0 + 1));
+        self.write(known.seen.version, epoch, self.timing.term_ms, now_ms)
     }
 
-    /// When a record that was seen for the first time now may be replaced.
+    /// Returns the time from which a record first seen now may be replaced.
     fn free_at_ms(&self, record: Option<&Record>, now_ms: u64) -> u64 {
         let Some(record) = record else {
             return now_ms;
         };
-        let is_given_back = record.term_ms == 0;
-        let is_former_self = self.is_sole && record.holder == self.name && record.boot != self.boot;
-        if is_given_back || is_former_self || self.is_over(record) {
+        let is_released = record.term_ms == 0;
+        let is_own_earlier_start =
+            self.has_exclusive_name && record.holder == self.name && record.boot != self.boot;
+        if is_released || is_own_earlier_start || self.has_ended(record) {
             return now_ms;
         }
-        now_ms + record.term_ms + self.terms.margin_ms
+        now_ms + record.term_ms + self.timing.margin_ms
     }
 
-    fn is_over(&self, record: &Record) -> bool {
-        self.over.is_some_and(|(boot, epoch)| record.boot == boot && record.epoch <= epoch)
+    /// Returns whether a notice has ended the term of this record.
+    fn has_ended(&self, record: &Record) -> bool {
+        self.ended_by_notice
+            .is_some_and(|(boot, epoch)| record.boot == boot && record.epoch <= epoch)
     }
 
-    /// Notes an act under the lease.
+    /// Records an action under the lease.
     pub fn record_action(&mut self, now_ms: u64) {
         self.acted_ms = Some(now_ms);
     }
 
-    /// What to tell rivals of a term held here.
+    /// Returns the notice to send to rivals about a term held by this daemon.
     #[must_use]
     pub fn notice(&self, now_ms: u64) -> Option<TermNotice> {
         let (version, epoch) = self.last_held?;
         let left_ms =
             self.holding.as_ref().map_or(0, |one| self.end_ms(one).saturating_sub(now_ms));
         let is_over = self.releasing;
-        let is_telling = is_over || self.holding.is_some();
+        let has_notice = is_over || self.holding.is_some();
         let idle_ms = self.acted_ms.map_or(u64::MAX, |acted_ms| now_ms.saturating_sub(acted_ms));
-        is_telling.then_some(TermNotice {
+        has_notice.then_some(TermNotice {
             version,
             boot: self.boot,
             epoch,
@@ -179,45 +185,45 @@
         })
     }
 
-    /// Takes what a holder has told of its term.
-    pub fn receive_notice(&mut self, told: TermNotice, now_ms: u64) {
-        if told.boot == self.boot {
+    /// Processes a holder's notice about its term.
+    pub fn receive_notice(&mut self, notice: TermNotice, now_ms: u64) {
+        if notice.boot == self.boot {
             return;
         }
-        if told.is_over {
-            self.over = Some((told.boot, told.epoch));
+        if notice.is_over {
+            self.ended_by_notice = Some((notice.boot, notice.epoch));
         }
         if self.must_step() {
             return;
         }
         let record = Record {
             holder: CompactString::default(),
-            boot: told.boot,
-            epoch: told.epoch,
-            term_ms: if told.is_over { 0 } else { told.left_ms },
+            boot: notice.boot,
+            epoch: notice.epoch,
+            term_ms: if notice.is_over { 0 } else { notice.left_ms },
             nonce: 0,
         };
-        let mut free_at_ms = now_ms + told.left_ms + self.terms.margin_ms;
-        if told.is_over {
+        let mut free_at_ms = now_ms + notice.left_ms + self.timing.margin_ms;
+        if notice.is_over {
             free_at_ms = now_ms;
         }
-        if let Some(standing) = &self.standing {
-            if told.version < standing.seen.version {
+        if let Some(known) = &self.known_record {
+            if notice.version < known.seen.version {
                 return;
             }
-            if told.version == standing.seen.version {
-                free_at_ms = free_at_ms.min(standing.free_at_ms);
+            if notice.version == known.seen.version {
+                free_at_ms = free_at_ms.min(known.free_at_ms);
             }
         }
-        let seen = VersionedRecord { version: told.version, record: Some(record) };
-        self.standing = Some(Standing { seen, free_at_ms });
-        self.next_read_ms = now_ms + self.terms.read_ms;
+        let seen = VersionedRecord { version: notice.version, record: Some(record) };
+        self.known_record = Some(KnownRecord { seen, free_at_ms });
+        self.next_read_ms = now_ms + self.timing.read_ms;
     }
 
-    /// The outcome of the last write is open: reading settles it, or another write on the same
-    /// version. Waited for instead, a write that was lost with the store's outage would leave nobody
-    /// in charge for a term after the store's return.
-    fn settle(&mut self, last: &Write, now_ms: u64) -> Step {
+    /// Resolves the last write by reading the record or by writing again to the same version. If the
+    /// contender only waited, a write lost in an outage of the store would leave the lease without a holder
+    /// for one term after the outage.
+    fn resolve_pending(&mut self, last: &Write, now_ms: u64) -> Step {
         let is_wanted = !self.releasing || last.record.term_ms == 0;
         if self.may_write_again && is_wanted {
             return self.write(last.if_version, last.record.epoch, last.record.term_ms, now_ms);
@@ -225,78 +231,80 @@
         self.read_when_due(now_ms)
     }
 
-    /// The store answered the last write.
+    /// Records that the store accepted the last write.
     pub fn written(&mut self, version: u64, now_ms: u64) {
         if let Some(pending) = self.pending.pop() {
-            self.won(pending, version, now_ms);
+            self.apply_accepted(pending, version, now_ms);
         }
     }
 
-    /// The store refused the last write: another came first, maybe an earlier one of these.
+    /// Records that the store refused the last write because another write came first, possibly an earlier
+    /// pending one.
     pub fn refused(&mut self, now_ms: u64) {
         self.holding = None;
-        // What was known of the record is old. Kept, it would look free for ever, and every step
-        // would write on the old version again and be refused again, without ever reading.
-        self.standing = None;
+        // The known record is outdated. If it were kept, it would look free forever, and every step would
+        // write to the old version and be refused without ever reading the record.
+        self.known_record = None;
         self.next_read_ms = now_ms;
     }
 
-    /// The last write got no answer.
+    /// Records that the last write was not answered.
     pub fn no_answer(&mut self, now_ms: u64) {
         self.next_read_ms = now_ms;
     }
 
-    /// The record was read; the read was sent at `sent_ms`.
+    /// Processes the result of a read that was sent at `sent_ms`.
     pub fn read(&mut self, seen: VersionedRecord, sent_ms: u64, now_ms: u64) {
-        self.next_read_ms = now_ms + self.terms.read_ms;
-        if self.older_than_known(&seen) {
+        self.next_read_ms = now_ms + self.timing.read_ms;
+        if self.is_stale(&seen) {
             return;
         }
-        let mine =
+        let own_write =
             self.pending.iter().position(|one| seen.record.as_ref() == Some(&one.write.record));
-        if let Some(mine) = mine {
-            let pending = self.pending.swap_remove(mine);
-            self.won(pending, seen.version, now_ms);
+        if let Some(own_write) = own_write {
+            let pending = self.pending.swap_remove(own_write);
+            self.apply_accepted(pending, seen.version, now_ms);
             return;
         }
         if let Some(last) = self.pending.last() {
             if sent_ms < last.sent_ms || seen.version == last.write.if_version {
-                // A write may still be under way and take effect after this read.
+                // A write may still be in flight and take effect after this read.
                 self.may_write_again = sent_ms >= last.sent_ms;
                 return;
             }
-            // Another version stands, so none of them can take effect any more.
+            // The version has changed, so no pending write can take effect any more.
             self.pending.clear();
         }
-        let known = self.holding.as_ref().map(|holding| holding.version);
-        if known.is_some_and(|version| version != seen.version) {
+        let held_version = self.holding.as_ref().map(|holding| holding.version);
+        if held_version.is_some_and(|version| version != seen.version) {
             self.holding = None;
         }
         let unchanged =
-            self.standing.as_ref().is_some_and(|standing| standing.seen.version == seen.version);
+            self.known_record.as_ref().is_some_and(|known| known.seen.version == seen.version);
         if !unchanged {
-            // The standing of a version is counted from after it was seen: the holder may have
-            // written it just before.
+            // The term of a version counts from when it was first seen: the holder may have written it
+            // just before.
             let free_at_ms = self.free_at_ms(seen.record.as_ref(), now_ms);
-            self.standing = Some(Standing { seen, free_at_ms });
+            self.known_record = Some(KnownRecord { seen, free_at_ms });
         }
     }
 
-    /// Gives the lease back on a planned stop: a term of no length follows.
+    /// Releases the lease on a planned stop by writing a term of zero length.
     pub fn release(&mut self) {
         self.releasing = true;
     }
 
-    fn older_than_known(&self, seen: &VersionedRecord) -> bool {
-        // A lagging read shows a version that has been replaced. Taking it would restart the
-        // count on a record that no longer stands.
-        let standing = self.standing.as_ref().map(|standing| standing.seen.version);
-        let written_on = self.pending.last().map(|pending| pending.write.if_version);
-        Some(seen.version) < standing.max(written_on)
+    fn is_stale(&self, seen: &VersionedRecord) -> bool {
+        // A stale read shows a version that has been replaced. Accepting it would restart the wait for
+        // a record that is no longer current.
+        let known_version = self.known_record.as_ref().map(|known| known.seen.version);
+        let replaced_version = self.pending.last().map(|pending| pending.write.if_version);
+        Some(seen.version) < known_version.max(replaced_version)
     }
 
+    /// Returns the time from which the holder no longer acts in its term.
     fn end_ms(&self, holding: &Holding) -> u64 {
-        holding.from_ms + self.terms.term_ms - self.terms.margin_ms
+        holding.start_ms + self.timing.term_ms - self.timing.margin_ms
     }
 
     fn hold(&mut self, holding: &Holding, now_ms: u64) -> Step {
@@ -307,9 +315,9 @@
         if self.releasing {
             return self.write(holding.version, holding.epoch, 0, now_ms);
         }
-        let renew_at_ms = holding.from_ms + self.terms.renew_ms;
+        let renew_at_ms = holding.start_ms + self.timing.renew_ms;
         if now_ms >= renew_at_ms {
-            return self.write(holding.version, holding.epoch, self.terms.term_ms, now_ms);
+            return self.write(holding.version, holding.epoch, self.timing.term_ms, now_ms);
         }
         Step::WaitUntil(renew_at_ms)
     }
@@ -325,27 +333,29 @@
             nonce: self.nonce,
         };
         let write = Write { if_version, record };
-        self.pending.push(Pending { write: write.clone(), sent_ms: now_ms });
+        self.pending.push(PendingWrite { write: write.clone(), sent_ms: now_ms });
         Step::Write(write)
     }
 
-    fn won(&mut self, pending: Pending, version: u64, now_ms: u64) {
-        // All were on the same version, so no other can take effect any more.
+    fn apply_accepted(&mut self, pending: PendingWrite, version: u64, now_ms: u64) {
+        // All pending writes replace the same version, so no other can take effect any more.
         self.pending.clear();
         let record = pending.write.record;
         let is_term = record.term_ms > 0;
         self.holding =
-            is_term.then_some(Holding { version, epoch: record.epoch, from_ms: pending.sent_ms });
+            is_term.then_some(Holding { version, epoch: record.epoch, start_ms: pending.sent_ms });
         self.last_held = Some((version, record.epoch));
         let free_at_ms = self.free_at_ms(Some(&record), now_ms);
-        self.standing =
-            Some(Standing { seen: VersionedRecord { version, record: Some(record) }, free_at_ms });
+        self.known_record = Some(KnownRecord {
+            seen: VersionedRecord { version, record: Some(record) },
+            free_at_ms,
+        });
     }
 
     fn read_when_due(&mut self, now_ms: u64) -> Step {
         if now_ms >= self.next_read_ms {
-            let is_settling = !self.pending.is_empty();
-            let pause_ms = if is_settling { self.terms.settle_ms } else { self.terms.read_ms };
+            let is_resolving = !self.pending.is_empty();
+            let pause_ms = if is_resolving { self.timing.settle_ms } else { self.timing.read_ms };
             self.next_read_ms = now_ms + pause_ms;
             return Step::Read;
         }
