--- a/src/lease_io.rs
+++ b/src/lease_io.rs
@@ -1,7 +1,7 @@
-//! The contest for a lease at the store: carries out what a [`lease::Contender`] asks for.
+//! Store access for leases: performs the steps that a [`lease::Contender`] returns.
 //!
-//! The contender decides and knows no store; whoever contends calls these for its steps, with the
-//! clock by which it steps.
+//! The contender makes the decisions and does not access the store. Its owner calls these functions with
+//! the clock that it also uses for the contender's steps.
 
 use crate::lease;
 use crate::store::{Condition, Failure, ObjectStore};
@@ -9,7 +9,7 @@
 /// Reads the record of a lease for a contender.
 ///
 /// # Errors
-/// When the store did not answer; the contender asks again by itself.
+/// Fails if the store did not answer; the contender schedules another read itself.
 pub async fn read(
     store: &impl ObjectStore,
     contender: &mut lease::Contender,
@@ -20,7 +20,7 @@
     let seen = match store.get(key).await? {
         None => lease::VersionedRecord { version: 0, record: None },
         Some(object) => {
-            // A record that can't be read is replaced like one that is free.
+            // A record that cannot be decoded is replaced as if the lease were free.
             let record = serde_json::from_str(&object.value).ok();
             lease::VersionedRecord { version: object.version, record }
         }
@@ -29,10 +29,10 @@
     Ok(())
 }
 
-/// Makes a contender's write and tells it the outcome.
+/// Performs a contender's write and reports the outcome to it.
 ///
 /// # Errors
-/// When the write was refused or not answered; the contender knows already.
+/// Fails if the write was refused or not answered; the contender has been informed.
 pub async fn write(
     store: &impl ObjectStore,
     contender: &mut lease::Contender,
