--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,15 +1,15 @@
-//! The sockets of a daemon, bound before anything else starts.
+//! The sockets of a daemon, which are bound before anything else starts.
 //!
-//! A port of zero lets the system choose one; the addresses bound are then put into the settings,
-//! which is what the daemon tells its peers, and printed as one JSON line on standard output.
+//! With port zero the system chooses the port. The bound addresses are written back into the settings,
+//! from which the daemon announces them to its peers, and printed as one JSON line on standard output.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 use crate::settings;
 
-/// Tries to find a port that is free for both TCP and UDP.
-const TRIES: usize = 16;
+/// Number of attempts to find a port that is free for both TCP and UDP.
+const MAX_ATTEMPTS: usize = 16;
 
 /// A TCP and a UDP socket on the same port.
 #[derive(Debug)]
@@ -19,13 +19,13 @@
 }
 
 impl TcpUdpPair {
-    /// Binds both to the address; stores the port chosen, if any, back into it.
+    /// Binds both sockets to the address and writes the bound address back to it.
     ///
     /// # Errors
-    /// When the address is in use or not of this machine.
+    /// Fails if the address is in use or does not belong to this machine.
     pub fn bind(addr: &mut SocketAddr) -> io::Result<Self> {
-        let mut last = io::Error::from(io::ErrorKind::AddrInUse);
-        for _ in 0..TRIES {
+        let mut last_error = io::Error::from(io::ErrorKind::AddrInUse);
+        for _ in 0..MAX_ATTEMPTS {
             let tcp = TcpListener::bind(*addr)?;
             let bound = tcp.local_addr()?;
             match UdpSocket::bind(bound) {
@@ -35,17 +35,17 @@
                     *addr = bound;
                     return Ok(Self { tcp, udp });
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
             if addr.port() != 0 {
                 break;
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
-/// The sockets that every daemon has.
+/// The sockets of every daemon.
 #[derive(Debug)]
 pub struct DaemonSockets {
     pub peer: TcpUdpPair,
@@ -53,10 +53,10 @@
 }
 
 impl DaemonSockets {
-    /// Binds them; stores the ports chosen back into the settings.
+    /// Binds the sockets and writes the bound addresses back into the settings.
     ///
     /// # Errors
-    /// When an address is in use or not of this machine.
+    /// Fails if an address is in use or does not belong to this machine.
     pub fn bind(settings: &mut settings::Daemon) -> io::Result<Self> {
         let peer = TcpUdpPair::bind(&mut settings.peer_addr)?;
         let admin = TcpListener::bind(settings.admin_addr)?;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Prints where a daemon listens; `work` is where callers or entries connect.
+/// Prints the addresses of a daemon; `work` is the address to which callers or entries connect.
 pub fn announce(settings: &settings::Daemon, work: SocketAddr) {
     let line = serde_json::json!({
         "daemon": settings.id,
