--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,10 +1,10 @@
-//! Claims: a call that may not be repeated runs at most once.
+//! Claims ensure that a call that may not be repeated runs at most once.
 //!
-//! Before such a call leaves for an endpoint, a claim for its idempotency key is created in the
-//! store; only the one creation that succeeds sends. A claim is never taken back on a guess: it is
-//! released by its claimer, and only if nothing was sent. Where the claimer died in between, the
-//! outcome is unknown and an operator resolves it. (A janitor that reverts old claims, as in
-//! "Claim-state CAS", would allow a second run after a crash; it is not taken for that reason.)
+//! Before such a call is sent to an endpoint, a claim for its idempotency key is created in the store.
+//! Only the side whose creation succeeds may send the call. A claim is released only by its holder, and
+//! only if nothing was sent. If the holder dies in between, the outcome is unknown and an operator
+//! resolves it. (A janitor that reverts old claims, as in "Claim-state CAS", would allow a second run
+//! after a crash, so there is none.)
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -12,22 +12,22 @@
 use crate::store::{Condition, Failure, ObjectStore};
 use crate::{error, keys, wire};
 
-/// Largest answer kept in a claim.
+/// Maximum size of an answer saved in a claim.
 pub const MAX_ANSWER_BYTES: usize = 64 << 10;
-/// How often an unanswered call to the store is settled by another.
-const TRIES: usize = 3;
-/// When to ask again while the same request runs.
+/// Number of attempts of an operation on the store.
+const MAX_ATTEMPTS: usize = 3;
+/// Retry delay returned to the client while the same request is running.
 const RUNNING_RETRY_MS: u32 = 1_000;
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The claimer has sent the call or is about to.
+    /// The holder has sent the call or is about to send it.
     Running,
-    /// The call ran; this is its answer.
+    /// The call ran and returned this answer.
     Done(SavedAnswer),
-    /// The call was sent and its outcome is not known.
+    /// The call was sent and its outcome is unknown.
     Unknown,
 }
 
@@ -36,16 +36,16 @@
 pub struct SavedAnswer {
     pub status: u16,
     pub headers: Vec<wire::Header>,
-    /// `None`: too long to be kept.
+    /// `None` if the body was too long to be saved.
     pub body: Option<Vec<u8>>,
 }
 
-/// What the store holds of a claim.
+/// The stored record of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     pub state: State,
     pub nonce: u64,
-    /// Tells another request under the same idempotency key.
+    /// Detects a different request with the same idempotency key.
     pub request_digest: [u8; 16],
     pub holder: Holder,
 }
@@ -57,7 +57,7 @@
     pub boot: u64,
 }
 
-/// A claim that is held here.
+/// A claim held by this side.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     pub key: String,
@@ -65,25 +65,25 @@
     version: u64,
 }
 
-/// What a claim allows.
+/// Result of [`claim`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Send the call.
+    /// The claim was created; the call may be sent.
     Claimed(Claim),
-    /// It ran before; this is its answer.
+    /// The call ran before and returned this answer.
     Replay(SavedAnswer),
-    /// It may not be sent. When `open`, the creation was never answered and may yet take effect;
-    /// it has to be released later.
+    /// The call must not be sent. If `unconfirmed` is set, the creation of that claim was not answered and
+    /// may still take effect, so the claim has to be released later.
     Refuse { refusal: error::Refusal, unconfirmed: Option<Claim> },
 }
 
-/// Object key of a claim.
+/// Returns the object key of a claim.
 #[must_use]
 pub fn key(region: &str, service: &str, digest: &wire::IdempotencyDigest) -> String {
     format!("claims/{region}/{service}/{}", keys::hex(digest))
 }
 
-fn text(record: &Record) -> String {
+fn encode(record: &Record) -> String {
     serde_json::to_string(record).unwrap_or_default()
 }
 
@@ -94,19 +94,19 @@
     record: Record,
     is_alive: impl Fn(&Holder) -> bool,
 ) -> Outcome {
-    let mut sent = false;
-    for _ in 0..TRIES {
-        match store.put(&key, text(&record), Condition::Absent).await {
+    let mut write_unanswered = false;
+    for _ in 0..MAX_ATTEMPTS {
+        match store.put(&key, encode(&record), Condition::Absent).await {
             Ok(version) => {
                 return Outcome::Claimed(Claim { key, record, version });
             }
             Err(Failure::Conflict) => {}
-            Err(Failure::NoAnswer) => sent = true,
-            // The store said that it did nothing; but an earlier try may still be open.
+            Err(Failure::NoAnswer) => write_unanswered = true,
+            // The store did not perform this write, but an earlier attempt may still take effect.
             Err(Failure::Down) => break,
         }
-        // Whoever made the claim, perhaps this call's own write with its answer lost, is found by
-        // reading. Sending without reading here is how a payment would be made twice.
+        // The claim may have been created by another side, or by an earlier write of this call whose
+        // answer was lost. Reading shows which. Without this read, a payment could be sent twice.
         if let Ok(Some(object)) = store.get(&key).await {
             let Ok(found) = serde_json::from_str::<Record>(&object.value) else {
                 return refuse(error::Kind::ClaimUnresolved, None);
@@ -114,10 +114,10 @@
             if found.nonce == record.nonce && found.holder == record.holder {
                 return Outcome::Claimed(Claim { key, record, version: object.version });
             }
-            return examine(&found, &record, is_alive);
+            return check_existing(&found, &record, is_alive);
         }
     }
-    let unconfirmed = sent.then(|| Claim { key, record, version: 0 });
+    let unconfirmed = write_unanswered.then(|| Claim { key, record, version: 0 });
     refuse(error::Kind::StoreUnavailable, unconfirmed)
 }
 
@@ -125,7 +125,7 @@
     Outcome::Refuse { refusal: error::Refusal::not_run(kind), unconfirmed }
 }
 
-fn examine(found: &Record, wanted: &Record, is_alive: impl Fn(&Holder) -> bool) -> Outcome {
+fn check_existing(found: &Record, wanted: &Record, is_alive: impl Fn(&Holder) -> bool) -> Outcome {
     if found.request_digest != wanted.request_digest {
         return refuse(error::Kind::IdempotencyMismatch, None);
     }
@@ -143,12 +143,12 @@
     }
 }
 
-/// Writes what became of a call that was sent. Says whether the store has it.
+/// Writes the outcome of a call that was sent. Returns whether the store holds an outcome.
 pub async fn record_outcome(store: &impl ObjectStore, claim: &mut Claim, state: State) -> bool {
     claim.record.state = state;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let condition = Condition::Version(claim.version);
-        match store.put(&claim.key, text(&claim.record), condition).await {
+        match store.put(&claim.key, encode(&claim.record), condition).await {
             Ok(version) => {
                 claim.version = version;
                 return true;
@@ -162,11 +162,11 @@
                     claim.version = object.version;
                     return true;
                 }
-                // Another write than ours stands (an operator resolved it): theirs is kept.
-                let own = found.is_some_and(|found| {
+                // The record was changed by someone else (an operator resolved the claim) and is kept.
+                let is_own = found.is_some_and(|found| {
                     found.nonce == claim.record.nonce && found.state == State::Running
                 });
-                if !own {
+                if !is_own {
                     return true;
                 }
                 claim.version = object.version;
@@ -177,21 +177,21 @@
     false
 }
 
-/// Takes a claim back whose call was never sent. Says whether the store has none of it.
+/// Deletes a claim whose call was never sent. Returns whether the store is known not to hold it.
 pub async fn release(store: &impl ObjectStore, claim: &Claim) -> bool {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let Ok(found) = store.get(&claim.key).await else {
             continue;
         };
         let Some(object) = found else {
             return claim.version != 0;
         };
-        let own = serde_json::from_str::<Record>(&object.value).is_ok_and(|found| {
+        let is_own = serde_json::from_str::<Record>(&object.value).is_ok_and(|found| {
             found.nonce == claim.record.nonce
                 && found.holder == claim.record.holder
                 && found.state == State::Running
         });
-        if !own {
+        if !is_own {
             return true;
         }
         if store.delete(&claim.key, object.version).await.is_ok() {
