--- a/src/usage.rs
+++ b/src/usage.rs
@@ -1,15 +1,15 @@
-//! Usage: what ran, by billing window, client account and service; and how it is billed once.
+//! Usage accounting by billing window, client account and service, with which usage is billed once.
 //!
-//! Each daemon keeps a sheet that only grows. The sum of all sheets up to the end of a window, less
-//! what former windows sealed, is what the window seals. So usage that arrives after the seal falls
-//! into the next window by itself, and no figure is ever changed.
+//! Each daemon keeps a usage sheet whose figures only grow. A window is sealed with the sum of all sheets
+//! up to its end, minus what earlier windows sealed. Usage that arrives after the seal is therefore
+//! billed in the next window, and sealed figures never change.
 
 use std::collections::BTreeMap;
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Number of a billing window: seconds since 1970 over the window's length.
+/// Number of a billing window: seconds since 1970 divided by the length of a window.
 #[derive(
     Clone,
     Copy,
@@ -25,14 +25,14 @@
 )]
 pub struct Window(pub u64);
 
-/// For whom and what.
+/// Client account and service that usage is counted for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Line {
     pub account: CompactString,
     pub service: CompactString,
 }
 
-/// How much.
+/// Amount of usage.
 #[derive(
     Clone,
     Copy,
@@ -57,7 +57,7 @@
         self == Self::default()
     }
 
-    fn less(self, other: Self) -> Self {
+    fn saturating_sub(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_sub(other.requests),
             prompt_tokens: self.prompt_tokens.saturating_sub(other.prompt_tokens),
@@ -66,7 +66,7 @@
     }
 }
 
-/// One line with its figures.
+/// Usage of one client account and service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     #[serde(flatten)]
@@ -75,7 +75,7 @@
     pub figures: Figures,
 }
 
-/// Figures by line.
+/// Usage by client account and service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Vec<Entry>", into = "Vec<Entry>")]
 pub struct Totals {
@@ -109,14 +109,17 @@
         }
     }
 
-    /// What is here beyond `former`.
+    /// Returns the usage that exceeds `previous`.
     #[must_use]
-    pub fn minus(&self, former: &Self) -> Self {
+    pub fn minus(&self, previous: &Self) -> Self {
         let lines = self
             .lines
             .iter()
             .map(|(line, figures)| {
-                (line.clone(), figures.less(former.lines.get(line).copied().unwrap_or_default()))
+                (
+                    line.clone(),
+                    figures.saturating_sub(previous.lines.get(line).copied().unwrap_or_default()),
+                )
             })
             .filter(|(_, figures)| !figures.is_zero())
             .collect();
@@ -143,23 +146,23 @@
     }
 }
 
-/// Windows that a sheet keeps apart; older ones are folded together. A line takes about 85 bytes, so
-/// 3,400 accounts in three windows stay below the megabyte that the platform holds in a value.
-const WINDOWS_APART: usize = 3;
+/// Number of windows that a sheet keeps separate; older ones are merged. A line takes about 85 bytes, so
+/// 3,400 accounts in three windows fit into the platform's limit of one megabyte per value.
+const SEPARATE_WINDOWS: usize = 3;
 
-/// What one daemon has seen run since it started.
+/// Usage that one daemon has counted since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sheet {
     windows: BTreeMap<Window, Totals>,
 }
 
 impl Sheet {
-    /// Counts usage into a window.
+    /// Adds usage to a window.
     pub fn add(&mut self, window: Window, line: &Line, figures: Figures) {
         self.windows.entry(window).or_default().add(line, figures);
-        while self.windows.len() > WINDOWS_APART {
-            // Windows this old are sealed or are sealed together with the next: folding the oldest
-            // into its successor moves its figures between windows that one seal covers anyway.
+        while self.windows.len() > SEPARATE_WINDOWS {
+            // Windows this old are already sealed or will be sealed together with the next one, so merging
+            // the oldest into its successor only moves usage between windows covered by the same seal.
             let Some((_, oldest)) = self.windows.pop_first() else {
                 return;
             };
@@ -170,7 +173,7 @@
         }
     }
 
-    /// All that ran up to the end of a window.
+    /// Returns all usage up to the end of a window.
     #[must_use]
     pub fn up_to(&self, window: Window) -> Totals {
         let mut totals = Totals::default();
@@ -186,35 +189,35 @@
     }
 }
 
-/// The final figures of a window, written once.
+/// The final usage of a window, written once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sealed {
     pub window: Window,
-    /// What the window is billed.
+    /// Usage billed for this window.
     pub figures: Totals,
-    /// All that was sealed up to and with this window.
+    /// Total usage sealed up to and including this window.
     pub cumulative: Totals,
-    /// Tells one writer's attempt from another's.
+    /// Identifies the write attempt.
     pub nonce: u64,
 }
 
 impl Sealed {
-    /// The figures of a window out of all sheets and the seal before it.
+    /// Computes the usage of a window from all sheets and the seal of the previous window.
     #[must_use]
-    pub fn compute(window: Window, sheets: &[Sheet], former: Option<&Self>, nonce: u64) -> Self {
+    pub fn compute(window: Window, sheets: &[Sheet], previous: Option<&Self>, nonce: u64) -> Self {
         let mut ran = Totals::default();
         for sheet in sheets {
             ran.merge(&sheet.up_to(window));
         }
         let empty = Totals::default();
-        let before = former.map_or(&empty, |sealed| &sealed.cumulative);
+        let before = previous.map_or(&empty, |sealed| &sealed.cumulative);
         let figures = ran.minus(before);
         let mut cumulative = before.clone();
         cumulative.merge(&figures);
         Self { window, figures, cumulative, nonce }
     }
 
-    /// The report of this window: the same whoever sends it.
+    /// Returns the report of this window, which is the same for every sender.
     #[must_use]
     pub fn report(&self, region: &str) -> Report {
         Report {
@@ -225,7 +228,7 @@
     }
 }
 
-/// What the usage interface is told of a window.
+/// Report of one window to the usage interface.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     pub region: CompactString,
