--- a/src/seal.rs
+++ b/src/seal.rs
@@ -1,21 +1,21 @@
-//! How messages are framed and sealed.
+//! Framing and authentication of messages.
 //!
-//! Datagrams and frames are `postcard`. Each carries a keyed digest under the fleet's secret; on a
-//! TCP link the key is derived from both ends' greetings and each frame is numbered, so that a
-//! frame of another link, or one played again, does not open.
+//! Datagrams and frames are encoded with `postcard` and carry a digest keyed with the fleet's secret. On
+//! a TCP link the key is derived from the greetings of both ends and the digest covers a frame number, so
+//! that frames of other links and replayed frames are rejected.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use subtle::ConstantTimeEq;
 
-/// Longest datagram sent or taken.
+/// Maximum size of a datagram, sent or received.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Longest frame sent or taken; a body of a megabyte and what goes with it.
+/// Maximum size of a frame, sent or received; fits a body of one megabyte and its metadata.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
 const TAG_BYTES: usize = 16;
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes were not taken as a message.
+/// Reason for rejecting bytes as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Reject {
     #[display("too short or too long")]
@@ -24,14 +24,14 @@
     Seal,
     #[display("not a message")]
     Message,
-    /// Fleets with one secret are told apart by their stores.
+    /// Fleets that share a secret are distinguished by their stores.
     #[display("from another fleet")]
     Fleet,
 }
 
 impl std::error::Error for Reject {}
 
-/// The key that seals messages.
+/// Key that authenticates messages.
 #[derive(Clone)]
 pub struct Secret([u8; 32]);
 
@@ -42,13 +42,13 @@
 }
 
 impl Secret {
-    /// Derives the fleet's key from the settings' secret.
+    /// Derives the fleet's key from the secret in the settings.
     #[must_use]
     pub fn fleet(text: &str) -> Self {
         Self(blake3::derive_key("briarwinch fleet 1", text.as_bytes()))
     }
 
-    /// Derives a link's key from both ends' nonces.
+    /// Derives the key of one direction of a link from the nonces of both ends.
     #[must_use]
     pub fn link_key(&self, client: u64, server: u64) -> Self {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
@@ -57,7 +57,7 @@
         Self(*hasher.finalize().as_bytes())
     }
 
-    /// A keyed digest of some text, for identifiers that must not show what they stand for.
+    /// Returns a keyed digest of `parts`, for identifiers that must not reveal the original value.
     #[must_use]
     pub fn pseudonym(&self, parts: &[&[u8]]) -> [u8; 16] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
@@ -68,9 +68,9 @@
         first_16(hasher.finalize())
     }
 
-    fn tag(&self, number: u64, bytes: &[u8]) -> [u8; TAG_BYTES] {
+    fn tag(&self, frame_number: u64, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        hasher.update(&number.to_le_bytes());
+        hasher.update(&frame_number.to_le_bytes());
         hasher.update(bytes);
         first_16(hasher.finalize())
     }
@@ -82,10 +82,10 @@
     tag
 }
 
-/// Seals one datagram.
+/// Encodes and seals a datagram.
 ///
 /// # Errors
-/// When the message does not fit a datagram.
+/// Fails if the message does not fit into a datagram.
 pub fn seal_datagram<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
     let bytes = seal_bytes(secret, message)?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
@@ -94,10 +94,10 @@
     Ok(bytes)
 }
 
-/// Opens one datagram.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// When the bytes are not a sealed message of this fleet.
+/// Fails if the bytes are not a sealed message of this fleet.
 pub fn open_datagram<T: DeserializeOwned>(secret: &Secret, bytes: &[u8]) -> Result<T, Reject> {
     if bytes.len() < TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Reject::Size);
@@ -105,10 +105,10 @@
     open(secret, 0, bytes)
 }
 
-/// Seals a message of any length, sent alone on its connection.
+/// Encodes and seals a message of any length that is sent alone on its connection.
 ///
 /// # Errors
-/// When the message cannot be encoded.
+/// Fails if the message cannot be encoded.
 pub fn seal_bytes<T: Serialize>(secret: &Secret, message: &T) -> Result<Vec<u8>, Reject> {
     let mut bytes = postcard::to_stdvec(message).map_err(|_| Reject::Message)?;
     let tag = secret.tag(0, &bytes);
@@ -116,10 +116,10 @@
     Ok(bytes)
 }
 
-/// Opens a message of any length.
+/// Verifies and decodes a message of any length.
 ///
 /// # Errors
-/// When the bytes are not a sealed message of this fleet.
+/// Fails if the bytes are not a sealed message of this fleet.
 pub fn open_bytes<T: DeserializeOwned>(secret: &Secret, bytes: &[u8]) -> Result<T, Reject> {
     if bytes.len() < TAG_BYTES {
         return Err(Reject::Size);
@@ -127,32 +127,36 @@
     open(secret, 0, bytes)
 }
 
-fn open<T: DeserializeOwned>(secret: &Secret, number: u64, sealed: &[u8]) -> Result<T, Reject> {
+fn open<T: DeserializeOwned>(
+    secret: &Secret,
+    frame_number: u64,
+    sealed: &[u8],
+) -> Result<T, Reject> {
     let (bytes, tag) = sealed.split_at(sealed.len() - TAG_BYTES);
-    let same: bool = secret.tag(number, bytes).ct_eq(tag).into();
-    if !same {
+    let is_authentic: bool = secret.tag(frame_number, bytes).ct_eq(tag).into();
+    if !is_authentic {
         return Err(Reject::Seal);
     }
     postcard::from_bytes(bytes).map_err(|_| Reject::Message)
 }
 
-/// Writes frames of one direction of a link.
+/// Encodes and seals the frames of one direction of a link.
 #[derive(Debug)]
 pub struct Sealer {
     secret: Secret,
-    number: u64,
+    frame_number: u64,
 }
 
 impl Sealer {
     #[must_use]
     pub fn new(secret: Secret) -> Self {
-        Self { secret, number: 0 }
+        Self { secret, frame_number: 0 }
     }
 
     /// Appends one frame to `out`.
     ///
     /// # Errors
-    /// When the message is too long; `out` is then as before.
+    /// Fails if the message cannot be encoded or is too long; in the latter case `out` is unchanged.
     pub fn seal<T: Serialize>(&mut self, message: &T, out: &mut Vec<u8>) -> Result<(), Reject> {
         let start = out.len();
         out.extend_from_slice(&[0; LENGTH_BYTES]);
@@ -163,8 +167,8 @@
             out.truncate(start);
             return Err(Reject::Size);
         }
-        let tag = self.secret.tag(self.number, &out[body..]);
-        self.number += 1;
+        let tag = self.secret.tag(self.frame_number, &out[body..]);
+        self.frame_number += 1;
         out.extend_from_slice(&tag);
         let length = (out.len() - body) as u32;
         out[start..body].copy_from_slice(&length.to_le_bytes());
@@ -172,11 +176,11 @@
     }
 }
 
-/// Reads frames of one direction of a link out of a byte stream.
+/// Extracts, verifies and decodes the frames of one direction of a link from a byte stream.
 #[derive(Debug)]
 pub struct Opener {
     secret: Secret,
-    number: u64,
+    frame_number: u64,
     pending: Vec<u8>,
     consumed: usize,
 }
@@ -184,10 +188,10 @@
 impl Opener {
     #[must_use]
     pub fn new(secret: Secret) -> Self {
-        Self { secret, number: 0, pending: Vec::new(), consumed: 0 }
+        Self { secret, frame_number: 0, pending: Vec::new(), consumed: 0 }
     }
 
-    /// Takes in received bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.consumed > 0 {
             self.pending.drain(..self.consumed);
@@ -196,10 +200,10 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next complete frame, if there is one.
     ///
     /// # Errors
-    /// When the bytes are no frame of this link; the link must then be closed.
+    /// Fails if the bytes are not a frame of this link; the link must then be closed.
     pub fn read<T: DeserializeOwned>(&mut self) -> Result<Option<T>, Reject> {
         let rest = &self.pending[self.consumed..];
         let Some(head) = rest.first_chunk::<LENGTH_BYTES>() else {
@@ -212,15 +216,15 @@
         let Some(sealed) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
-        let message = open(&self.secret, self.number, sealed)?;
-        self.number += 1;
+        let message = open(&self.secret, self.frame_number, sealed)?;
+        self.frame_number += 1;
         self.consumed += LENGTH_BYTES + length;
         Ok(Some(message))
     }
 
-    /// Goes on under another key with the bytes not yet read.
+    /// Continues with another key and the bytes not read yet.
     #[must_use]
     pub fn rekey(self, secret: Secret) -> Self {
-        Self { secret, number: 0, ..self }
+        Self { secret, frame_number: 0, ..self }
     }
 }
