--- a/src/seal.rs
+++ b/src/seal.rs
@@ -18,11 +18,11 @@
 /// Reason for rejecting bytes as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Reject {
-    #[display("too short or too long")]
+    #[display("message too short or too long")]
     Size,
     #[display("not sealed by this fleet")]
     Seal,
-    #[display("not a message")]
+    #[display("invalid message")]
     Message,
     /// Fleets that share a secret are distinguished by their stores.
     #[display("from another fleet")]
