--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -1,4 +1,4 @@
-//! Properties of the pure parts, over cases drawn from a fixed seed.
+//! Property tests of the modules without I/O, with cases generated from a fixed seed.
 
 mod answers;
 mod bytes;
@@ -12,10 +12,10 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// The seed of all properties; printed by each, so that a failure can be run again.
+/// Seed of all property tests; each test prints it so that a failure can be reproduced.
 const SEED: u64 = 20_261_203;
 
-/// Settings of a property.
+/// Returns the configuration of a property test with `count` cases.
 fn cases(count: u32) -> Config {
     println!("seed {SEED}, {count} cases");
     Config {
