--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -1,4 +1,5 @@
-//! The queue: protection, guaranteed shares, fairness, bounds.
+//! Property tests of the queue: protected classes, guaranteed shares, fairness between accounts and the
+//! capacity limit.
 
 use std::collections::HashMap;
 
@@ -6,9 +7,9 @@
 use briarwinch::queue::{ClassRule, Job, PushOutcome, Queue, Started};
 use proptest::prelude::*;
 
-const PLACES: usize = 24;
+const CAPACITY: usize = 24;
 
-/// Seven classes as the users' target has them; two are protected.
+/// Returns seven classes as in the users' target, two of them protected.
 fn rules() -> Vec<ClassRule> {
     [(90, true), (80, true), (70, false), (60, false), (40, false), (20, false), (10, false)]
         .into_iter()
@@ -29,90 +30,90 @@
 }
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Push {
         class: u16,
         account: u8,
         tokens: u64,
     },
     Pop,
-    /// The oldest running job ends after this part of its estimate, in percent.
+    /// The oldest running job ends after this percentage of its estimate.
     Finish {
         percent: u64,
     },
     Expire,
 }
 
-fn acts() -> impl Strategy<Value = Vec<Act>> {
-    let act = prop_oneof![
+fn actions() -> impl Strategy<Value = Vec<Action>> {
+    let action = prop_oneof![
         5 => (0..7_u16, 0..4_u8, 1..2000_u64)
-            .prop_map(|(class, account, tokens)| Act::Push { class, account, tokens }),
-        2 => Just(Act::Pop),
-        1 => (0..300_u64).prop_map(|percent| Act::Finish { percent }),
-        1 => Just(Act::Expire),
+            .prop_map(|(class, account, tokens)| Action::Push { class, account, tokens }),
+        2 => Just(Action::Pop),
+        1 => (0..300_u64).prop_map(|percent| Action::Finish { percent }),
+        1 => Just(Action::Expire),
     ];
-    prop::collection::vec(act, 1..300)
+    prop::collection::vec(action, 1..300)
 }
 
 proptest! {
     #![proptest_config(crate::cases(400))]
 
-    /// A burst of anything fills the queue. A protected request that was pushed out for a lower one
-    /// would be a hearing summary that comes after the hearing.
+    /// Guards against a full queue refusing or evicting a protected job in favour of a lower class, for
+    /// example a hearing summary that then arrives after the hearing.
     #[test]
-    fn protected_jobs_are_never_refused_for_lower_ones(acts in acts()) {
+    fn protected_jobs_are_never_refused_for_lower_ones(actions in actions()) {
         let rules = rules();
-        let mut queue = Queue::new(1, rules.clone(), PLACES);
+        let mut queue = Queue::new(1, rules.clone(), CAPACITY);
         let mut waiting: HashMap<u64, Job> = HashMap::new();
         let mut running: Vec<Started> = Vec::new();
-        for (id, act) in (0_u64..).zip(acts) {
-            match act {
-                Act::Push { class, account, tokens } => {
+        for (id, action) in (0_u64..).zip(actions) {
+            match action {
+                Action::Push { class, account, tokens } => {
                     let new = job(id, class, account, tokens);
                     let rule = |job: &Job| rules[usize::from(job.class.0)];
                     match queue.push(new.clone()) {
                         PushOutcome::Queued(_) => { waiting.insert(id, new); }
-                        PushOutcome::QueuedEvicting(_, out) => {
-                            prop_assert!(waiting.remove(&out.id).is_some());
-                            let lower = rule(&out).priority < rule(&new).priority;
-                            prop_assert!(!(rule(&out).protected && out.class != new.class));
-                            prop_assert!(lower || out.class == new.class);
+                        PushOutcome::QueuedEvicting(_, evicted) => {
+                            prop_assert!(waiting.remove(&evicted.id).is_some());
+                            let lower = rule(&evicted).priority < rule(&new).priority;
+                            prop_assert!(!(rule(&evicted).protected && evicted.class != new.class));
+                            prop_assert!(lower || evicted.class == new.class);
                             waiting.insert(id, new);
                         }
-                        PushOutcome::Refused(out) => {
-                            prop_assert_eq!(out.id, id);
-                            if rule(&out).protected {
-                                // Every common place is held by its own tier, higher ones, or
-                                // protected ones; a lower unprotected one has only what it is
-                                // guaranteed.
+                        PushOutcome::Refused(refused) => {
+                            prop_assert_eq!(refused.id, id);
+                            if rule(&refused).protected {
+                                // All shared capacity is used by its own class, higher classes or
+                                // protected ones; a lower unprotected class uses only its reserved
+                                // capacity.
                                 for (class, lower) in rules.iter().enumerate() {
                                     let held = queue.waiting(ClassKey(class as u16));
-                                    let reserved = (PLACES * 50_000 / 1_000_000).max(1);
-                                    prop_assert!(lower.priority >= rule(&out).priority
+                                    let reserved = (CAPACITY * 50_000 / 1_000_000).max(1);
+                                    prop_assert!(lower.priority >= rule(&refused).priority
                                         || lower.protected || held <= reserved);
                                 }
                             }
                         }
                     }
                 }
-                Act::Pop => if let Some(started) = queue.pop(0, 32) {
+                Action::Pop => if let Some(started) = queue.pop(0, 32) {
                     prop_assert!(waiting.remove(&started.job.id).is_some());
                     running.push(started);
                 },
-                Act::Finish { percent } => if !running.is_empty() {
+                Action::Finish { percent } => if !running.is_empty() {
                     let started = running.remove(0);
                     let tokens = started.job.estimate_tokens * percent / 100;
                     queue.finish(started, tokens);
                 },
-                Act::Expire => prop_assert!(queue.expire(id).is_empty()),
+                Action::Expire => prop_assert!(queue.expire(id).is_empty()),
             }
             prop_assert_eq!(queue.len(), waiting.len());
-            prop_assert!(queue.len() <= PLACES);
+            prop_assert!(queue.len() <= CAPACITY);
         }
     }
 
-    /// Classes above have endless demand. The stated bound: while a class waits, its service is
-    /// behind its guaranteed share of all service by at most one job of each class.
+    /// Guards against starvation by higher classes with unlimited demand. While a class waits, its service
+    /// must be behind its guaranteed share of all service by at most one job of each class.
     #[test]
     fn no_class_starves_under_endless_higher_load(
         sizes in prop::collection::vec(1..2000_u64, 200..600),
@@ -146,34 +147,35 @@
         }
     }
 
-    /// One account floods a class, another sends as much as it always has. The flood must not take
-    /// the other's service: of the service while both wait, each gets half, within two jobs.
+    /// Guards against an account that floods a class and displaces another with little traffic. While both
+    /// wait, each must get half of the service, within two jobs.
     #[test]
-    fn accounts_of_a_class_share_alike(
+    fn accounts_of_a_class_get_equal_service(
         sizes in prop::collection::vec((1..2000_u64, 10..300_u64), 50..200),
     ) {
         let mut queue = Queue::new(1, rules(), 64);
         let mut served = [0_u64; 2];
         let mut largest = 0;
-        let (mut id, mut few) = (0, 0);
+        let (mut id, mut other_waiting) = (0, 0);
         for (tokens, percent) in sizes {
             for _ in 0..10 {
                 id += 1;
                 queue.push(job(id, 3, 0, tokens));
             }
-            // The other never has more than three waiting: within its means.
-            while few < 3 {
+            // The other account never has more than three jobs waiting.
+            while other_waiting < 3 {
                 id += 1;
                 let pushed = queue.push(job(id, 3, 1, tokens));
-                prop_assert!(!matches!(pushed, PushOutcome::Refused(_)), "the few are not refused");
-                few += 1;
+                prop_assert!(!matches!(pushed, PushOutcome::Refused(_)),
+                    "an account with few jobs is not refused");
+                other_waiting += 1;
             }
             let started = queue.pop(0, 32).expect("it waits");
-            // Output lengths are unknown: what it takes in the end is not what was estimated.
+            // Output lengths are unknown, so the actual service differs from the estimate.
             let tokens = started.job.estimate_tokens * percent / 100 + 1;
             largest = largest.max(tokens.max(started.job.estimate_tokens));
             let is_other = started.job.account == "account-1";
-            few -= usize::from(is_other);
+            other_waiting -= usize::from(is_other);
             served[usize::from(is_other)] += tokens;
             queue.finish(started, tokens);
             prop_assert!(served[0].abs_diff(served[1]) <= 2 * largest, "{served:?}, {largest}");
