--- a/tests/properties/lease.rs
+++ b/tests/properties/lease.rs
@@ -1,23 +1,23 @@
-//! Leases: two daemons never both believe they are in charge while either acts.
+//! Property tests of leases: at most one daemon considers itself the holder at any time.
 
 use briarwinch::lease::{Contender, Epoch, Record, Step, TIMING, TermNotice, VersionedRecord};
 use briarwinch::orders::Fence;
 use proptest::prelude::*;
 
-/// What happens to a daemon's next call, and how long each part takes.
+/// Faults and delays of one call of a daemon to the store.
 #[derive(Clone, Copy, Debug)]
-struct Call {
+struct CallFaults {
     out_ms: u64,
     back_ms: u64,
     answer_lost: bool,
     down: bool,
     /// The daemon is frozen for this long after the call.
     frozen_ms: u64,
-    /// The read shows the version before the newest.
+    /// The read returns the version before the newest.
     stale: bool,
 }
 
-fn call() -> impl Strategy<Value = Call> {
+fn call_faults() -> impl Strategy<Value = CallFaults> {
     (
         0..900_u64,
         0..900_u64,
@@ -26,7 +26,7 @@
         prop_oneof![8 => Just(0_u64), 2 => 0..20_000_u64],
         prop::bool::weighted(0.1),
     )
-        .prop_map(|(out_ms, back_ms, answer_lost, down, frozen_ms, stale)| Call {
+        .prop_map(|(out_ms, back_ms, answer_lost, down, frozen_ms, stale)| CallFaults {
             out_ms,
             back_ms,
             answer_lost,
@@ -42,20 +42,20 @@
     Write { if_version: u64, record: Record },
 }
 
-/// A call on its way: when it takes effect, when the daemon goes on.
+/// A call in flight, with the times at which it takes effect and at which the daemon continues.
 #[derive(Clone, Debug)]
-struct UnderWay {
+struct InFlight {
     effect: Effect,
     sent_ms: u64,
     effect_at_ms: u64,
-    go_on_at_ms: u64,
-    fate: Call,
+    continue_at_ms: u64,
+    faults: CallFaults,
     outcome: Option<Outcome>,
 }
 
 #[derive(Clone, Debug)]
 enum Outcome {
-    VersionedRecord(VersionedRecord),
+    Read(VersionedRecord),
     Written(u64),
     Conflict,
     Nothing,
@@ -63,20 +63,20 @@
 
 struct Daemon {
     contender: Contender,
-    under_way: Option<UnderWay>,
+    in_flight: Option<InFlight>,
     wait_until_ms: u64,
-    /// Its own clock against true time.
+    /// Offset of the daemon's clock from true time.
     clock_offset_ms: u64,
 }
 
-/// How often daemons tell each other of their leases.
-const TELL_MS: u64 = 500;
+/// How often daemons send each other notices about their leases.
+const NOTICE_INTERVAL_MS: u64 = 500;
 
-/// What a holder told, on its way to all rivals.
+/// A notice in flight from a holder to all rivals.
 #[derive(Clone, Copy, Debug)]
 struct Message {
     from: usize,
-    told: TermNotice,
+    notice: TermNotice,
     at_ms: u64,
 }
 
@@ -94,12 +94,12 @@
         }
     }
 
-    fn act(&mut self, effect: &Effect, fate: Call) -> Outcome {
-        if fate.down {
+    fn apply(&mut self, effect: &Effect, faults: CallFaults) -> Outcome {
+        if faults.down {
             return Outcome::Nothing;
         }
         let outcome = match effect {
-            Effect::Read => Outcome::VersionedRecord(self.seen(fate.stale)),
+            Effect::Read => Outcome::Read(self.seen(faults.stale)),
             Effect::Write { if_version, .. } if *if_version != self.history.len() as u64 => {
                 Outcome::Conflict
             }
@@ -108,7 +108,7 @@
                 Outcome::Written(self.history.len() as u64)
             }
         };
-        if fate.answer_lost { Outcome::Nothing } else { outcome }
+        if faults.answer_lost { Outcome::Nothing } else { outcome }
     }
 }
 
@@ -117,15 +117,15 @@
         let name = format!("entry-{number}").into();
         Self {
             contender: Contender::with_exclusive_name(name, boot, TIMING),
-            under_way: None,
+            in_flight: None,
             wait_until_ms: at_ms,
             clock_offset_ms,
         }
     }
 
-    /// What it tells its rivals, unless it is frozen.
-    fn tells(&self, true_ms: u64) -> Option<TermNotice> {
-        let is_frozen = self.under_way.as_ref().is_some_and(|call| call.fate.frozen_ms > 0);
+    /// Returns the notice for its rivals, unless the daemon is frozen.
+    fn notice(&self, true_ms: u64) -> Option<TermNotice> {
+        let is_frozen = self.in_flight.as_ref().is_some_and(|call| call.faults.frozen_ms > 0);
         if is_frozen { None } else { self.contender.notice(self.clock(true_ms)) }
     }
 
@@ -133,18 +133,23 @@
         true_ms + self.clock_offset_ms
     }
 
-    fn advance(&mut self, true_ms: u64, store: &mut Store, fates: &mut impl Iterator<Item = Call>) {
+    fn advance(
+        &mut self,
+        true_ms: u64,
+        store: &mut Store,
+        next_calls: &mut impl Iterator<Item = CallFaults>,
+    ) {
         let clock = self.clock(true_ms);
-        if let Some(call) = &mut self.under_way {
+        if let Some(call) = &mut self.in_flight {
             if call.outcome.is_none() && true_ms >= call.effect_at_ms {
-                call.outcome = Some(store.act(&call.effect, call.fate));
+                call.outcome = Some(store.apply(&call.effect, call.faults));
             }
-            if true_ms < call.go_on_at_ms {
+            if true_ms < call.continue_at_ms {
                 return;
             }
-            let call = self.under_way.take().expect("matched above");
+            let call = self.in_flight.take().expect("matched above");
             match (&call.effect, call.outcome.expect("the effect comes first")) {
-                (Effect::Read, Outcome::VersionedRecord(seen)) => {
+                (Effect::Read, Outcome::Read(seen)) => {
                     self.contender.read(seen, call.sent_ms, clock);
                 }
                 (Effect::Write { .. }, Outcome::Written(version)) => {
@@ -168,51 +173,51 @@
                 return;
             }
         };
-        let fate = fates.next().expect("endless");
-        let effect_at_ms = true_ms + fate.out_ms;
-        let go_on_at_ms = effect_at_ms + fate.back_ms + fate.frozen_ms;
-        self.under_way = Some(UnderWay {
+        let faults = next_calls.next().expect("endless");
+        let effect_at_ms = true_ms + faults.out_ms;
+        let continue_at_ms = effect_at_ms + faults.back_ms + faults.frozen_ms;
+        self.in_flight = Some(InFlight {
             effect,
             sent_ms: clock,
             effect_at_ms,
-            go_on_at_ms,
-            fate,
+            continue_at_ms,
+            faults,
             outcome: None,
         });
     }
 }
 
-/// When the faults end. From then on whoever is in charge is killed every so often, until one is
-/// left: time for the last frozen call, the longest term and some tries.
-const CALM_MS: u64 = 180_000;
+/// Time at which the faults end. From then on the holder is killed every `KILL_EVERY_MS` until one daemon
+/// is left; the interval leaves time for the last frozen call, the longest term and some attempts.
+const FAULTS_END_MS: u64 = 180_000;
 const KILL_EVERY_MS: u64 = 40_000;
-const END_MS: u64 = CALM_MS + 3 * KILL_EVERY_MS;
+const END_MS: u64 = FAULTS_END_MS + 3 * KILL_EVERY_MS;
 
 proptest! {
     #![proptest_config(crate::cases(300))]
 
-    /// Holders are frozen past their term, or killed and started again under the same name, answers
-    /// are lost after they took effect, reads are old, the store is down, three rivals contend. An order from two of them at once would start or
-    /// stop the same endpoints twice.
+    /// Guards against two daemons that hold the lease at once and start or stop the same endpoints twice.
+    /// Three daemons compete while holders are frozen past their term or restarted under the same name,
+    /// answers are lost after writes took effect, reads are stale and the store is down.
     #[test]
-    fn at_most_one_daemon_is_in_charge(
-        calls in prop::collection::vec(call(), 20..120),
+    fn at_most_one_daemon_holds_the_lease(
+        calls in prop::collection::vec(call_faults(), 20..120),
         offsets in prop::collection::vec(0..1_000_000_u64, 3),
-        restarts in prop::collection::vec((0..CALM_MS, 0..3_usize), 0..12),
+        restarts in prop::collection::vec((0..FAULTS_END_MS, 0..3_usize), 0..12),
         delays in prop::collection::vec(
             prop_oneof![6 => 0..300_u64, 2 => 300..8_000_u64, 2 => Just(u64::MAX)], 1..40,
         ),
     ) {
         let mut store = Store::default();
-        let mut left_behind: Vec<UnderWay> = Vec::new();
+        let mut orphaned_calls: Vec<InFlight> = Vec::new();
         let mut messages: Vec<Message> = Vec::new();
         let mut delays = delays.iter().copied().cycle();
-        // After the faults a calm, in which somebody must come to be in charge.
-        let calm = Call {
+        // After the faults comes a period without faults, in which a daemon must become the holder.
+        let faultless_call = CallFaults {
             out_ms: 5, back_ms: 5, answer_lost: false, down: false, frozen_ms: 0, stale: false,
         };
         let mut faults = calls.iter().copied().cycle();
-        let mut calms = std::iter::repeat(calm);
+        let mut faultless_calls = std::iter::repeat(faultless_call);
         let mut daemons: Vec<Daemon> = offsets
             .iter()
             .enumerate()
@@ -227,66 +232,65 @@
                     let offset = offsets[*number];
                     let next = Daemon::start(*number, 1_000 + at_ms, offset, true_ms + 300);
                     let ended = std::mem::replace(&mut daemons[*number], next);
-                    // What it had sent still takes effect.
-                    left_behind.extend(ended.under_way.filter(|call| call.outcome.is_none()));
+                    // Calls that the killed daemon had sent still take effect.
+                    orphaned_calls.extend(ended.in_flight.filter(|call| call.outcome.is_none()));
                 }
             }
-            left_behind.retain(|call| {
+            orphaned_calls.retain(|call| {
                 let is_due = true_ms >= call.effect_at_ms;
                 if is_due {
-                    store.act(&call.effect, call.fate);
+                    store.apply(&call.effect, call.faults);
                 }
                 !is_due
             });
-            if true_ms.is_multiple_of(TELL_MS) {
+            if true_ms.is_multiple_of(NOTICE_INTERVAL_MS) {
                 for (from, daemon) in daemons.iter().enumerate() {
-                    let told = daemon.tells(true_ms);
-                    messages.extend(told.into_iter().map(|told| {
+                    let notice = daemon.notice(true_ms);
+                    messages.extend(notice.into_iter().map(|notice| {
                         let at_ms = true_ms.saturating_add(delays.next().expect("endless"));
-                        Message { from, told, at_ms }
+                        Message { from, notice, at_ms }
                     }));
                 }
             }
             for message in messages.extract_if(.., |message| message.at_ms <= true_ms) {
                 for (to, daemon) in daemons.iter_mut().enumerate() {
-                    // A rival that waits for a call hears of it when it goes on.
-                    if to != message.from && daemon.under_way.is_none() {
+                    // A rival that is waiting for a call misses this notice and gets a later one.
+                    if to != message.from && daemon.in_flight.is_none() {
                         let clock = daemon.clock(true_ms);
-                        daemon.contender.receive_notice(message.told, clock);
+                        daemon.contender.receive_notice(message.notice, clock);
                     }
                 }
             }
             for daemon in &mut daemons {
-                if true_ms < CALM_MS {
+                if true_ms < FAULTS_END_MS {
                     daemon.advance(true_ms, &mut store, &mut faults);
                 } else {
-                    daemon.advance(true_ms, &mut store, &mut calms);
+                    daemon.advance(true_ms, &mut store, &mut faultless_calls);
                 }
             }
-            let in_charge: Vec<Epoch> = daemons
+            let holders: Vec<Epoch> = daemons
                 .iter()
                 .filter_map(|daemon| daemon.contender.epoch(daemon.clock(true_ms)))
                 .collect();
-            prop_assert!(in_charge.len() <= 1, "{in_charge:?} at {true_ms}");
-            if true_ms > CALM_MS && (true_ms + 50 - CALM_MS).is_multiple_of(KILL_EVERY_MS) {
-                prop_assert_eq!(in_charge.len(), 1, "nobody took over by {}", true_ms);
+            prop_assert!(holders.len() <= 1, "{holders:?} at {true_ms}");
+            if true_ms > FAULTS_END_MS && (true_ms + 50 - FAULTS_END_MS).is_multiple_of(KILL_EVERY_MS) {
+                prop_assert_eq!(holders.len(), 1, "no daemon took over by {}", true_ms);
                 daemons.retain(|daemon| daemon.contender.epoch(daemon.clock(true_ms)).is_none());
             }
-            for epoch in in_charge {
-                // No act under an epoch after one of a greater epoch.
+            for epoch in holders {
+                // There must be no action under an epoch after one under a greater epoch.
                 prop_assert!(epoch >= newest, "{epoch} after {newest}");
                 prop_assert!(fence.admit(epoch));
                 newest = epoch;
                 held_ms += 50;
             }
         }
-        // With calls like these somebody is in charge for some of the time, so the above says
-        // something.
+        // Guards against a vacuous test: some daemon must be the holder for some of the time.
         prop_assert!(held_ms > 0 || calls.iter().all(|call| call.down || call.answer_lost));
     }
 
-    /// An order of a former holder is still in the network when the next one has begun. An endpoint
-    /// that does not check who gives an order would obey both; its side does not let it through.
+    /// Guards against an order of an earlier holder that arrives after the next holder has started. An
+    /// endpoint that does not check the sender would obey both, so its side rejects the old epoch.
     #[test]
     fn fence_admits_no_old_epoch_after_a_newer_one(epochs in prop::collection::vec(0..20_u64, 1..60)) {
         let mut fence = Fence::at(Epoch(epochs[0]));
@@ -299,8 +303,8 @@
     }
 }
 
-/// A holder is woken after any pause. It must see by its own clock that its term is over before a
-/// rival can have begun: the gap between both is twice the margin.
+/// Guards against a holder that acts after a pause although its term has ended. Its own clock must show the
+/// end of the term before a rival can start; the gap between the two is twice the margin.
 #[test]
 fn woken_holder_knows_that_its_term_is_over() {
     let mut holder = Contender::new("holder".into(), 1, TIMING);
@@ -311,22 +315,23 @@
     assert_eq!(
         last,
         Some(TIMING.term_ms - TIMING.margin_ms - 1),
-        "counted from before the write was sent"
+        "the term counts from before the write was sent"
     );
 }
 
-/// A daemon stops as planned and gives its lease back, so that the next one need not wait.
+/// Guards against an idle term after a planned stop: the holder releases its lease, and the next daemon takes
+/// it without waiting.
 #[test]
 fn released_lease_is_taken_at_once() {
     let mut holder = Contender::new("holder".into(), 1, TIMING);
     holder.read(VersionedRecord { version: 0, record: None }, 0, 0);
-    let Step::Write(_) = holder.step(0) else { panic!("it takes the free lease") };
+    let Step::Write(_) = holder.step(0) else { panic!("the holder takes the free lease") };
     holder.written(1, 10);
     holder.release();
-    assert_eq!(holder.epoch(20), None, "it no longer acts");
-    let Step::Write(write) = holder.step(20) else { panic!("it gives the lease back") };
+    assert_eq!(holder.epoch(20), None, "the holder no longer acts");
+    let Step::Write(write) = holder.step(20) else { panic!("the holder releases the lease") };
     let mut rival = Contender::new("rival".into(), 2, TIMING);
     rival.read(VersionedRecord { version: 2, record: Some(write.record) }, 30, 30);
-    let Step::Write(taken) = rival.step(30) else { panic!("it need not wait") };
+    let Step::Write(taken) = rival.step(30) else { panic!("the rival does not wait") };
     assert_eq!(taken.record.epoch, Epoch(2));
 }
