--- a/tests/properties/clock.rs
+++ b/tests/properties/clock.rs
@@ -1,10 +1,10 @@
-//! The clocks that daemons go by.
+//! Tests of the clocks that daemons use.
 
 use briarwinch::{clock, hub};
 
-/// Daemons take the time since something was last heard for silence, and nothing was heard before
-/// their start. By a clock that began at the instance's boot, each daemon that starts would find the
-/// readers of its zone silent and read the store itself.
+/// Guards against a daemon clock that starts at the boot of the instance. Daemons detect silent peers by the
+/// time since their last message, and no message arrives before the start. With such a clock, every daemon
+/// that starts would consider the readers of its zone silent and read the store itself.
 #[test]
 fn a_daemons_time_begins_at_its_start() {
     let before_ms = clock::boot_ms();
