--- a/tests/properties/claims.rs
+++ b/tests/properties/claims.rs
@@ -1,48 +1,54 @@
-//! Claims: at most one send for one idempotency key, whatever the store does.
+//! Property tests of claims: a call is sent at most once per idempotency key, whatever the store does.
 
 use briarwinch::claims::{self, Holder, Outcome, Record, SavedAnswer, State};
 use proptest::prelude::*;
 
-use crate::fake_store::{Fate, Store, now};
+use crate::fake_store::{CallOutcome, Store, now};
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn call_outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        4 => Just(Fate::Served),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Delayed),
-        1 => Just(Fate::Down),
+        4 => Just(CallOutcome::Served),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::Lost),
+        1 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Down),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct Try {
-    fates: Vec<Fate>,
-    /// Which of three sides tries.
+struct Attempt {
+    call_outcomes: Vec<CallOutcome>,
+    /// Index of the side that makes the attempt, one of three.
     side: u64,
-    /// The side dies after the claim, before, while or after it sends.
-    dies: Death,
-    other_body: bool,
+    /// How the side fails after the claim, if it does.
+    failure: SideFailure,
+    has_other_body: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Death {
+enum SideFailure {
     None,
     BeforeSend,
     AfterSend,
-    /// It could not connect, so nothing was sent, and it takes the claim back.
+    /// The side could not connect, so nothing was sent, and it releases the claim.
     NotSent,
 }
 
-fn tries() -> impl Strategy<Value = Vec<Try>> {
+fn attempts() -> impl Strategy<Value = Vec<Attempt>> {
     let death = prop_oneof![
-        4 => Just(Death::None),
-        1 => Just(Death::BeforeSend),
-        1 => Just(Death::AfterSend),
-        1 => Just(Death::NotSent),
+        4 => Just(SideFailure::None),
+        1 => Just(SideFailure::BeforeSend),
+        1 => Just(SideFailure::AfterSend),
+        1 => Just(SideFailure::NotSent),
     ];
-    let one = (prop::collection::vec(fate(), 0..10), 0..3_u64, death, prop::bool::weighted(0.1))
-        .prop_map(|(fates, side, dies, other_body)| Try { fates, side, dies, other_body });
+    let one =
+        (prop::collection::vec(call_outcome(), 0..10), 0..3_u64, death, prop::bool::weighted(0.1))
+            .prop_map(|(call_outcomes, side, failure, has_other_body)| Attempt {
+                call_outcomes,
+                side,
+                failure,
+                has_other_body,
+            });
     prop::collection::vec(one, 1..12)
 }
 
@@ -53,51 +59,54 @@
 proptest! {
     #![proptest_config(crate::cases(2000))]
 
-    /// A payment is tried again and again through any side, while writes are lost, answered late or
-    /// not at all, and sides die between any two steps. Two sends would be two payments; and an
-    /// answer that says "not run" after a send would make the clerk pay again.
+    /// Guards against a payment that is sent twice, and against a "not run" answer after a send, which would
+    /// make the client pay again. A payment is repeated through any side while writes are lost, answered late
+    /// or not answered, and sides die between any two steps.
     #[test]
-    fn one_key_is_sent_at_most_once(tries in tries()) {
+    fn one_key_is_sent_at_most_once(attempts in attempts()) {
         let store = Store::default();
         let mut sends = 0_u64;
         let mut boots = [0_u64; 3];
-        for (number, attempt) in (1_u64..).zip(tries) {
-            let holder = Holder { daemon: format!("side-{}", attempt.side).into(), boot: boots[attempt.side as usize] };
+        for (number, attempt) in (1_u64..).zip(attempts) {
+            let holder = Holder {
+                daemon: format!("side-{}", attempt.side).into(),
+                boot: boots[attempt.side as usize],
+            };
             let record = Record {
                 state: State::Running,
                 nonce: number,
-                request_digest: [u8::from(attempt.other_body); 16],
+                request_digest: [u8::from(attempt.has_other_body); 16],
                 holder,
             };
             let alive = |holder: &Holder| {
                 let side: usize = holder.daemon[5..].parse().expect("side-N");
                 boots[side] == holder.boot
             };
-            store.script(&attempt.fates);
+            store.script(&attempt.call_outcomes);
             let outcome = now(claims::claim(&store, "claims/k".to_owned(), record, alive));
-            // Whatever was delayed may arrive at any later moment; here at the worst one.
-            store.settle();
+            // Delayed writes may arrive at any later time; here they arrive at the worst one.
+            store.apply_delayed();
             match outcome {
-                Outcome::Claimed(mut claim) => match attempt.dies {
-                    Death::BeforeSend => boots[attempt.side as usize] += 1,
-                    Death::NotSent => { now(claims::release(&store, &claim)); }
-                    Death::AfterSend => {
+                Outcome::Claimed(mut claim) => match attempt.failure {
+                    SideFailure::BeforeSend => boots[attempt.side as usize] += 1,
+                    SideFailure::NotSent => { now(claims::release(&store, &claim)); }
+                    SideFailure::AfterSend => {
                         sends += 1;
                         boots[attempt.side as usize] += 1;
                     }
-                    Death::None => {
+                    SideFailure::None => {
                         sends += 1;
                         now(claims::record_outcome(&store, &mut claim, State::Done(saved(sends))));
                     }
                 },
                 Outcome::Replay(answer) => prop_assert_eq!(answer, saved(1)),
                 Outcome::Refuse { refusal, unconfirmed } => {
-                    // "Not run" is said of this try; and where the claim may still arrive, it is
-                    // known, so that it can be taken back.
+                    // "Not run" refers to this attempt. If the claim may still arrive, it is returned
+                    // so that it can be released.
                     if let Some(claim) = unconfirmed {
                         prop_assert_eq!(refusal.ran, briarwinch::error::Ran::No);
                         if now(claims::release(&store, &claim)) {
-                            store.settle();
+                            store.apply_delayed();
                         }
                     }
                 }
@@ -107,8 +116,8 @@
     }
 }
 
-/// Without the janitor of the paper a claim whose holder died stays; nobody may send again before
-/// an operator has said what happened.
+/// Guards against a second send after a holder has died. There is no janitor as in the paper, so the claim
+/// stays, and the call must not be sent again before an operator has resolved the outcome.
 #[test]
 fn claim_of_a_dead_holder_is_not_reverted() {
     let store = Store::default();
--- a/tests/properties/fake_store.rs
+++ b/tests/properties/fake_store.rs
@@ -1,19 +1,20 @@
-//! A store in memory that loses answers, goes down and delays writes, as told by a script.
+//! An in-memory store that loses answers, fails and delays writes according to a script.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
 use briarwinch::store::{Condition, Failure, Listing, Object, ObjectStore};
 
-/// What happens to the next call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     Served,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// It is lost on its way.
+    /// The call is lost before it takes effect.
     Lost,
-    /// It is lost for now and takes effect at the next [`Store::settle`], if it still can.
+    /// The call is not answered; a write takes effect at the next [`Store::apply_delayed`] if its version
+    /// still matches.
     Delayed,
     Down,
 }
@@ -25,27 +26,27 @@
     if_version: u64,
 }
 
-/// The store.
+/// In-memory object store with scripted faults.
 #[derive(Debug, Default)]
 pub struct Store {
     objects: RefCell<BTreeMap<String, (u64, String)>>,
     revision: Cell<u64>,
-    fates: RefCell<Vec<Fate>>,
+    outcomes: RefCell<Vec<CallOutcome>>,
     delayed: RefCell<Vec<Delayed>>,
 }
 
 impl Store {
-    /// Sets the fates of the next calls; after them all are served.
-    pub fn script(&self, fates: &[Fate]) {
-        *self.fates.borrow_mut() = fates.iter().rev().copied().collect();
+    /// Sets the outcomes of the next calls; later calls are served.
+    pub fn script(&self, outcomes: &[CallOutcome]) {
+        *self.outcomes.borrow_mut() = outcomes.iter().rev().copied().collect();
     }
 
-    fn fate(&self) -> Fate {
-        self.fates.borrow_mut().pop().unwrap_or(Fate::Served)
+    fn next_outcome(&self) -> CallOutcome {
+        self.outcomes.borrow_mut().pop().unwrap_or(CallOutcome::Served)
     }
 
-    /// Lets delayed writes arrive.
-    pub fn settle(&self) {
+    /// Applies the delayed writes.
+    pub fn apply_delayed(&self) {
         for write in self.delayed.take() {
             let _ = self.write(&write.key, write.value, write.if_version);
         }
@@ -65,27 +66,29 @@
     }
 
     fn change(&self, key: &str, value: Option<String>, if_version: u64) -> Result<u64, Failure> {
-        match self.fate() {
-            Fate::Served => self.write(key, value, if_version),
-            Fate::AnswerLost => {
+        match self.next_outcome() {
+            CallOutcome::Served => self.write(key, value, if_version),
+            CallOutcome::AnswerLost => {
                 let _ = self.write(key, value, if_version);
                 Err(Failure::NoAnswer)
             }
-            Fate::Lost => Err(Failure::NoAnswer),
-            Fate::Delayed => {
+            CallOutcome::Lost => Err(Failure::NoAnswer),
+            CallOutcome::Delayed => {
                 let key = key.to_owned();
                 self.delayed.borrow_mut().push(Delayed { key, value, if_version });
                 Err(Failure::NoAnswer)
             }
-            Fate::Down => Err(Failure::Down),
+            CallOutcome::Down => Err(Failure::Down),
         }
     }
 
     fn answers(&self) -> Result<(), Failure> {
-        match self.fate() {
-            Fate::Served => Ok(()),
-            Fate::AnswerLost | Fate::Lost | Fate::Delayed => Err(Failure::NoAnswer),
-            Fate::Down => Err(Failure::Down),
+        match self.next_outcome() {
+            CallOutcome::Served => Ok(()),
+            CallOutcome::AnswerLost | CallOutcome::Lost | CallOutcome::Delayed => {
+                Err(Failure::NoAnswer)
+            }
+            CallOutcome::Down => Err(Failure::Down),
         }
     }
 }
@@ -128,7 +131,7 @@
     }
 }
 
-/// Runs a future of the fake store, which never waits.
+/// Runs a future that only waits for the fake store, which answers at once.
 pub fn now<T>(future: impl Future<Output = T>) -> T {
     let mut future = std::pin::pin!(future);
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
