--- a/src/gateway/control/restrictions.rs
+++ b/src/gateway/control/restrictions.rs
@@ -19,16 +19,16 @@
         self.log_evacuations(&before, source);
         self.publish();
         // The other entries send there until they know.
-        self.shared.news.notify_one();
+        self.shared.urgent_update.notify_one();
     }
 
     fn log_evacuations(&self, before: &evacuation::Evacuations, source: &'static str) {
         let now = self.evacuations.borrow();
-        for zone in now.zones().filter(|zone| !before.has(zone)) {
+        for zone in now.zones().filter(|zone| !before.contains(zone)) {
             slog::info!(self.log, "zone evacuated"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
         }
-        for zone in before.zones().filter(|zone| !now.has(zone)) {
+        for zone in before.zones().filter(|zone| !now.contains(zone)) {
             self.taken_back.borrow_mut().insert(zone.clone(), self.now_ms());
             slog::info!(self.log, "zone taken back"; "zone" => zone.as_str(),
                 "revision" => now.revision(), "source" => source);
@@ -63,7 +63,7 @@
         let directory = self.directory.borrow();
         let mut departures = self.shared.departures();
         for departure in told {
-            let is_new = departures.note(*departure, now_ms);
+            let is_new = departures.record(*departure, now_ms);
             if let Some(endpoint) = directory.find(departure.endpoint).filter(|_| is_new) {
                 lines::endpoint_leaves(&self.log, endpoint, "peer");
             }
@@ -101,7 +101,7 @@
         for service in table.services() {
             let Some(warm_up) = service.warm_up else { continue };
             let most_per_s = warmup::most_per_s(warm_up.per_s, rate.factor, rate.extra);
-            for endpoint in directory.taking(&service.name) {
+            for endpoint in directory.accepting(&service.name) {
                 let back_ms =
                     taken_back.get(&endpoint.zone).map(|at_ms| at_ms + warmup::TAKEN_BACK_MS);
                 let Some(until_ms) = directory.cold_until_ms(endpoint.key, now_ms).max(back_ms)
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -33,7 +33,7 @@
     let mut next_counts_ms: u64 = 0;
     loop {
         let wait_ms = next_ms.saturating_sub(control.now_ms());
-        let news = control.shared.news.notified();
+        let news = control.shared.urgent_update.notified();
         let is_news =
             wait_ms > 0 && time::timeout(Duration::from_millis(wait_ms), news).await.is_ok();
         if is_news {
@@ -46,8 +46,8 @@
         let now_ms = control.now_ms();
         let facts = facts(&control, now_ms);
         let outgoing = {
-            let mut book = control.shared.book();
-            let mut homes = control.shared.homes();
+            let mut book = control.shared.load_table();
+            let mut homes = control.shared.prefix_locations();
             let mut exchange = control.exchange.borrow_mut();
             exchange.tick(now_ms, &facts, is_news, &mut book, &mut homes)
         };
@@ -82,10 +82,10 @@
         is_stopping: control.shared.is_draining(),
         lease: newest.map(|(told, at_ms)| told.after(now_ms - at_ms)),
         gate: control.shared.gate.ages(now_ms),
-        evacuations: control.evacuations.borrow().told(now_ms),
+        evacuations: control.evacuations.borrow().snapshot(now_ms),
         limits,
         limits_stamp,
-        departures: control.shared.departures().told(now_ms),
+        departures: control.shared.departures().recent(now_ms),
     }
 }
 
@@ -105,7 +105,7 @@
         (keepers, 1 + peers.live(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.parcels(&keepers, &own, shared.settled_ms()) {
+    for (addr, counts) in outbox.parcels(&keepers, &own, shared.counted_until_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
@@ -121,17 +121,17 @@
     let peers = &mut exchange.peers;
     peers.forget(now_ms);
     let sharing = peers.sharing(now_ms);
-    control.shared.entries.store(sharing, Ordering::Relaxed);
+    control.shared.live_entries.store(sharing, Ordering::Relaxed);
     let mut sharers = control.sharers.get();
     let sharing = sharers.seen(sharing, peers.is_settled(now_ms));
     control.sharers.set(sharers);
-    control.shared.sharers.store(sharing, Ordering::Relaxed);
-    control.shared.serving_others.store(peers.serving(now_ms), Ordering::Relaxed);
+    control.shared.retry_budget_divisor.store(sharing, Ordering::Relaxed);
+    control.shared.serving_peers.store(peers.serving(now_ms), Ordering::Relaxed);
     let snapshot = control.shared.snapshot.load();
     let limited = control.shared.limits().count();
     let leaving = {
         let departures = control.shared.departures();
-        snapshot.directory.endpoints().iter().filter(|one| departures.has(one)).count()
+        snapshot.directory.endpoints().iter().filter(|one| departures.contains(one)).count()
     };
     measures::known(&snapshot, limited, leaving, peers.live(now_ms), control.holds_duties.get());
 }
@@ -174,7 +174,7 @@
     match message {
         Message::State(state) => take_state(control, &state, now_ms),
         Message::Work(work) => {
-            control.exchange.borrow_mut().take_work(&work, &mut shared.book(), now_ms);
+            control.exchange.borrow_mut().take_work(&work, &mut shared.load_table(), now_ms);
         }
         Message::Roster(roster) => {
             let new = control.exchange.borrow_mut().peers.take(&roster, now_ms);
@@ -182,7 +182,7 @@
         }
         Message::Placed(placed) => {
             control.exchange.borrow_mut().pass_on(placed.leg, &placed.parts);
-            let mut homes = shared.homes();
+            let mut homes = shared.prefix_locations();
             placed.parts.into_iter().for_each(|placed| homes.note(placed, now_ms));
         }
         Message::Limits(limits) => control.take_limits(&limits, now_ms),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -68,7 +68,7 @@
         let refuse = error::Refusal::not_run;
         let arrived_ms = self.now_ms();
         self.shared.last_request_ms.store(arrived_ms, Ordering::Release);
-        if self.shared.is_closed() {
+        if self.shared.is_admission_closed() {
             return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
         }
         let snapshot = self.shared.snapshot.load();
@@ -95,7 +95,8 @@
         if route.kind.is_stream() {
             let output_tokens =
                 request.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
-            let run_ms = self.shared.reading(&table.service(service).name).run_ms(output_tokens);
+            let run_ms =
+                self.shared.engine_timing(&table.service(service).name).run_ms(output_tokens);
             if self.shared.delays_stop(run_ms) {
                 return Err(refuse(error::Kind::Draining).retry_after_ms(COME_BACK_MS));
             }
@@ -175,7 +176,7 @@
                 )
             {
                 self.log_turned_away(job, &choice);
-                self.shared.turned_away().note(&job.service().name, now_ms);
+                self.shared.rejections().note(&job.service().name, now_ms);
                 return Err(self.given_up(job, error::Kind::TooLate));
             }
             if job.has_arrived && !self.may_retry(job) {
@@ -186,7 +187,7 @@
             let patience = job.patience(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
             if !job.kind.is_stream() && job.account.is_some() && !job.is_counted {
-                job.uncounted = Some(self.shared.begin_uncounted());
+                job.uncounted = Some(self.shared.begin_pending_count());
             }
             let failure = match self.attempt(job, &choice, patience).await {
                 Ok(running) => {
@@ -243,7 +244,7 @@
     /// Takes a retry out of the route's attempts and the shared budget.
     fn may_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
     }
@@ -253,10 +254,10 @@
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
         let fresh = snapshot
-            .taking(&service.name, job.moving_key(), now_ms)
+            .accepting(&service.name, job.moving_key(), now_ms)
             .filter(|one| !job.tried.contains(&one.key) && eligibility.takes(one));
-        let book = self.shared.book();
-        let homes = self.shared.homes();
+        let book = self.shared.load_table();
+        let homes = self.shared.prefix_locations();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
         let known = choose::Known {
@@ -270,7 +271,7 @@
             target_ms: f64::from(job.route().target_ms),
             patience_ms: job.stream_patience_ms() as f64,
             refused_zones: &job.refused_zones,
-            reading: &self.shared.reading(&service.name),
+            reading: &self.shared.engine_timing(&service.name),
         };
         choose::choose(
             fresh,
@@ -331,7 +332,7 @@
     /// failure that an endpoint gave is the caller's answer.
     fn can_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         let snapshot = self.shared.snapshot.load();
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().has_room(&job.service().name, sharers, now_ms)
