--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -73,7 +73,7 @@
             let ask = wire::Ask { nonce, endpoint: place.endpoint, ..ask.clone() };
             let pending = Pending { target, late_at_ms, round: Rc::clone(&round) };
             self.asks.pending.borrow_mut().insert(nonce, pending);
-            let sealed = seal::datagram(&self.common.secret, &wire::Datagram::Ask(ask));
+            let sealed = seal::seal_datagram(&self.common.secret, &wire::Datagram::Ask(ask));
             if let (Some(socket), Ok(bytes)) = (&self.asks.socket, sealed) {
                 // An ask that does not leave is an endpoint that does not answer.
                 let _ = socket.try_send_to(&bytes, place.work_addr);
@@ -97,7 +97,7 @@
         self.asks.pending.borrow_mut().retain(|_, pending| {
             let late = now_ms > pending.late_at_ms;
             if late {
-                silent.missed(pending.target, now_ms);
+                silent.record_timeout(pending.target, now_ms);
                 metrics::counter!("briarwinch_asks_unanswered_total").increment(1);
             }
             !late
@@ -108,7 +108,7 @@
         let Some(pending) = self.asks.pending.borrow_mut().remove(&offer.nonce) else {
             return;
         };
-        self.silent.borrow_mut().answered(pending.target);
+        self.silent.borrow_mut().record_answer(pending.target);
         pending.round.offers.borrow_mut().push(Answered { target: pending.target, offer });
         pending.round.arrived.notify_one();
     }
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -34,8 +34,8 @@
     pub is_aggregating: bool,
     /// Number of live peers that the entry knows.
     pub live: u16,
-    /// Newest information on the lease of the duties that was received from its holder.
-    pub lease: Option<lease::Told>,
+    /// Newest notice about the term of the duties that was received from its holder.
+    pub term_notice: Option<lease::TermNotice>,
     pub admission_ages: admission::Ages,
     pub evacuations: evacuation::Snapshot,
 }
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -115,7 +115,7 @@
         for line in &list.endpoints {
             let is_live = line.standing == platform::Standing::Live;
             if is_live && self.live.insert(line.id.clone()) && !first {
-                self.planners.entry(line.service.clone()).or_default().came_up(now_ms);
+                self.planners.entry(line.service.clone()).or_default().endpoint_started(now_ms);
             }
         }
     }
@@ -132,7 +132,7 @@
             lines.filter(|line| line.standing == standing).count() as u32
         };
         let offers = || loads.iter().filter_map(|load| load.offer.as_ref());
-        let seen = scaling::Seen {
+        let seen = scaling::Observation {
             live: count(platform::Standing::Live),
             starting: count(platform::Standing::Starting),
             running: offers().map(|offer| offer.running).sum(),
@@ -179,7 +179,7 @@
     action: orders::Action,
 ) -> Result<(), Failure> {
     let region = &control.settings.region;
-    let Some(epoch) = lease.epoch_for(control.hub.now_ms(), ORDER_MS) else {
+    let Some(epoch) = lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) else {
         return Ok(());
     };
     let order = orders::Order {
@@ -193,7 +193,7 @@
     }
     // The store may have taken long, or this process been frozen in the call: the term is checked
     // once more, right before the order leaves.
-    if lease.epoch_for(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
+    if lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
         return Ok(());
     }
     slog::info!(control.log, "order"; "zone" => zone, "epoch" => epoch.0,
@@ -257,7 +257,7 @@
             drain,
         };
         let datagram = wire::Datagram::LoadAsk(ask);
-        if let Ok(bytes) = seal::datagram(control.secret(), &datagram) {
+        if let Ok(bytes) = seal::seal_datagram(control.secret(), &datagram) {
             let _ = socket.try_send_to(&bytes, load.place.work_addr);
         }
     }
