--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -42,7 +42,7 @@
 impl LoadGuard {
     fn open(gateway: &Rc<Gateway>, choice: &choose::Choice<'_>) -> Self {
         let work = load::Work { requests: 1, unread_tokens: u64::from(choice.unread_tokens) };
-        gateway.shared.book().add(choice.endpoint.key, work, gateway.now_ms());
+        gateway.shared.load_table().add(choice.endpoint.key, work, gateway.now_ms());
         let prefill_tokens = choice.work.unread_tokens + work.unread_tokens;
         Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, prefill_tokens }
     }
@@ -56,14 +56,14 @@
     /// Removes the prompt's tokens from the load table once the first event has arrived.
     pub fn prefill_done(&mut self) {
         let read = load::Work { requests: 0, unread_tokens: self.work.unread_tokens };
-        self.gateway.shared.book().remove(self.endpoint, read);
+        self.gateway.shared.load_table().remove(self.endpoint, read);
         self.work.unread_tokens = 0;
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.gateway.shared.book().remove(self.endpoint, self.work);
+        self.gateway.shared.load_table().remove(self.endpoint, self.work);
     }
 }
 
@@ -131,9 +131,9 @@
         self.note_cold_send(job, &endpoint, now_ms);
         self.shared.limits().note(endpoint.key, now_ms);
         if let Some(prompt) = &job.request.prompt {
-            self.shared.homes().place(endpoint.key, &prompt.parts, now_ms);
+            self.shared.prefix_locations().place(endpoint.key, &prompt.parts, now_ms);
             if must_announce(choice) {
-                self.shared.news.notify_one();
+                self.shared.urgent_update.notify_one();
             }
         }
         let bytes = self.protocol.encode(&job.endpoint_request(&endpoint.id, now_ms));
@@ -200,7 +200,7 @@
     /// Whether the chosen endpoint still accepts a request, checked again after connecting.
     fn is_still_eligible(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let snapshot = self.shared.snapshot.load();
-        snapshot.takes(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).allows(endpoint)
+        snapshot.accepts(endpoint, now_ms) && self.eligibility(&snapshot, now_ms).allows(endpoint)
     }
 
     /// Records a send to an endpoint that is cold or may become cold.
@@ -250,15 +250,15 @@
         let now_ms = self.now_ms();
         self.health.borrow_mut().heard(endpoint.key, now_ms);
         if let Some(load) = info.load {
-            self.shared.book().take_report(endpoint.key, load.running + load.waiting, now_ms);
+            self.shared.load_table().take_report(endpoint.key, load.running + load.waiting, now_ms);
         }
         if let Some(wait_ms) = info.retry_after_ms {
             self.backoff.borrow_mut().ask(endpoint, wait_ms, now_ms);
         }
         let departure = departures::Departure::of(endpoint);
-        if info.is_leaving && self.shared.departures().note(departure, now_ms) {
+        if info.is_leaving && self.shared.departures().record(departure, now_ms) {
             request_log::log_endpoint_leaving(&self.log, endpoint, "answer");
-            self.shared.news.notify_one();
+            self.shared.urgent_update.notify_one();
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
@@ -266,7 +266,7 @@
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // Without the announcement the other entries would go on at their previous rate.
-            self.shared.news.notify_one();
+            self.shared.urgent_update.notify_one();
         }
     }
 
--- a/src/gateway/eligibility.rs
+++ b/src/gateway/eligibility.rs
@@ -21,7 +21,7 @@
         let key = endpoint.key;
         self.cold_sends.has_room(key, &self.snapshot.warming, self.now_ms)
             && self.limits.has_room(key, self.now_ms)
-            && !self.departures.has(endpoint)
+            && !self.departures.contains(endpoint)
             && self.backoff.left_ms(endpoint, self.now_ms) == 0
     }
 }
@@ -48,7 +48,7 @@
         let now_ms = self.now_ms();
         let snapshot = self.shared.snapshot.load();
         let backoff = self.backoff.borrow();
-        let endpoints = snapshot.taking(&job.service().name, job.evacuation_key(), now_ms);
+        let endpoints = snapshot.accepting(&job.service().name, job.evacuation_key(), now_ms);
         endpoints.map(|endpoint| backoff.left_ms(endpoint, now_ms)).min().unwrap_or(0)
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -70,7 +70,7 @@
         let refuse = error::Refusal::not_run;
         let arrived_ms = self.now_ms();
         self.shared.last_request_ms.store(arrived_ms, Ordering::Release);
-        if self.shared.is_closed() {
+        if self.shared.is_admission_closed() {
             return Err(refuse(error::Kind::Draining).retry_after_ms(DRAINING_RETRY_MS));
         }
         let snapshot = self.shared.snapshot.load();
@@ -97,7 +97,8 @@
         if route.kind.is_stream() {
             let output_tokens =
                 request.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
-            let run_ms = self.shared.reading(&table.service(service).name).run_ms(output_tokens);
+            let run_ms =
+                self.shared.engine_timing(&table.service(service).name).run_ms(output_tokens);
             if self.shared.delays_stop(run_ms) {
                 return Err(refuse(error::Kind::Draining).retry_after_ms(DRAINING_RETRY_MS));
             }
@@ -180,7 +181,7 @@
                 )
             {
                 self.log_turned_away(job, &choice);
-                self.shared.turned_away().note(&job.service().name, now_ms);
+                self.shared.rejections().note(&job.service().name, now_ms);
                 return Err(self.final_refusal(job, error::Kind::TooLate));
             }
             if job.reached_endpoint && !self.take_retry(job) {
@@ -191,7 +192,7 @@
             let timeout = job.response_timeout(choice.first_ms, now_ms);
             self.log_choice(job, &choice);
             if !job.kind.is_stream() && job.account.is_some() && !job.is_billed {
-                job.pending_billing = Some(self.shared.begin_uncounted());
+                job.pending_billing = Some(self.shared.begin_pending_count());
             }
             let failure = match self.attempt(job, &choice, timeout).await {
                 Ok(response) => {
@@ -249,7 +250,7 @@
     /// Whether a retry is allowed; takes it from the shared retry budget.
     fn take_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().spend(&job.service().name, sharers, now_ms)
     }
@@ -264,10 +265,10 @@
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
         let candidates = snapshot
-            .taking(&service.name, job.evacuation_key(), now_ms)
+            .accepting(&service.name, job.evacuation_key(), now_ms)
             .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.allows(one));
-        let book = self.shared.book();
-        let homes = self.shared.homes();
+        let book = self.shared.load_table();
+        let homes = self.shared.prefix_locations();
         let health = self.health.borrow();
         let pauses = self.pauses.borrow();
         let known = choose::Known {
@@ -281,7 +282,7 @@
             target_ms: f64::from(job.route().latency_target_ms),
             patience_ms: job.stream_timeout_ms() as f64,
             refused_zones: &job.unreachable_zones,
-            reading: &self.shared.reading(&service.name),
+            reading: &self.shared.engine_timing(&service.name),
         };
         choose::choose(
             candidates,
@@ -342,7 +343,7 @@
     /// failure that the endpoint returned.
     fn can_retry(&self, job: &Job) -> bool {
         let now_ms = self.now_ms();
-        let sharers = self.shared.sharers.load(Ordering::Relaxed);
+        let sharers = self.shared.retry_budget_divisor.load(Ordering::Relaxed);
         let snapshot = self.shared.snapshot.load();
         job.has_attempt_left(now_ms)
             && self.budgets.borrow_mut().has_room(&job.service().name, sharers, now_ms)
