--- a/src/control.rs
+++ b/src/control.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
 
-use crate::{bound, duties, hub, membership, platform, seal, settings, spread, store, wire};
+use crate::{duties, hub, membership, platform, seal, settings, sockets, spread, store, wire};
 
 /// Peers told at once when something changed here.
 const RUMOR_PEERS: usize = 3;
@@ -74,7 +74,7 @@
     identity: Identity,
     hub: Arc<hub::Hub>,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
@@ -94,7 +94,7 @@
     identity: Identity,
     hub: Arc<hub::Hub>,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     let control = Rc::new(Control {
         secret: seal::Secret::fleet(&settings.fleet_secret),
@@ -298,7 +298,7 @@
 
     fn send_digest(&self, addr: SocketAddr, is_answer: bool) {
         let digest = self.shared.borrow().digest(self.settings.peer_addr, is_answer);
-        let Ok(bytes) = seal::datagram(&self.secret, &wire::Datagram::Digest(digest)) else {
+        let Ok(bytes) = seal::seal_datagram(&self.secret, &wire::Datagram::Digest(digest)) else {
             return;
         };
         self.hub.bytes_out.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -75,7 +75,7 @@
             let ask = wire::Ask { nonce, endpoint: place.endpoint, ..ask.clone() };
             let pending = Pending { target, expires_at_ms, round: Rc::clone(&round) };
             self.asks.pending.borrow_mut().insert(nonce, pending);
-            let sealed = seal::datagram(&self.common.secret, &wire::Datagram::Ask(ask));
+            let sealed = seal::seal_datagram(&self.common.secret, &wire::Datagram::Ask(ask));
             if let (Some(socket), Ok(bytes)) = (&self.asks.socket, sealed) {
                 // A failed send has the same effect as an endpoint that does not answer.
                 let _ = socket.try_send_to(&bytes, place.work_addr);
@@ -95,11 +95,11 @@
     /// Drops asks that were not answered in time and records the timeout for their endpoints.
     pub(super) fn expire_asks(&self) {
         let now_ms = self.now_ms();
-        let mut silent = self.silent.borrow_mut();
+        let mut backoffs = self.backoffs.borrow_mut();
         self.asks.pending.borrow_mut().retain(|_, pending| {
             let expired = now_ms > pending.expires_at_ms;
             if expired {
-                silent.missed(pending.target, now_ms);
+                backoffs.record_timeout(pending.target, now_ms);
                 metrics::counter!("briarwinch_asks_unanswered_total").increment(1);
             }
             !expired
@@ -110,7 +110,7 @@
         let Some(pending) = self.asks.pending.borrow_mut().remove(&offer.nonce) else {
             return;
         };
-        self.silent.borrow_mut().answered(pending.target);
+        self.backoffs.borrow_mut().record_answer(pending.target);
         pending.round.offers.borrow_mut().push(ReceivedOffer { target: pending.target, offer });
         pending.round.offer_received.notify_one();
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -25,8 +25,8 @@
 use tokio::{task, time};
 
 use crate::{
-    admin, admission, bound, control, explain, hub, logging, membership, metric, placement, retry,
-    seal, settings, spread, trace,
+    admin, admission, control, explain, hub, logging, membership, metric, placement, retry, seal,
+    settings, sockets, spread, trace,
 };
 
 /// How long an idle caller connection is kept open.
@@ -57,7 +57,7 @@
     common: Arc<Common>,
     links: links::Links,
     asks: asks::Asks,
-    silent: RefCell<placement::Silent>,
+    backoffs: RefCell<placement::Backoffs>,
     retry_budget: RefCell<retry::Budget>,
     /// Token budgets of the accounts that have a token rate limit.
     token_budgets: RefCell<admission::Budgets>,
@@ -86,11 +86,11 @@
     };
     let listener = std::net::TcpListener::bind(settings.listen_addr)?;
     settings.listen_addr = listener.local_addr()?;
-    let sockets = bound::Daemon::bind(&mut settings.daemon)?;
+    let sockets = sockets::DaemonSockets::bind(&mut settings.daemon)?;
     let daemon = settings.daemon.clone();
     admin::spawn(&daemon, Arc::clone(&hub), Some(Arc::clone(&ring)), metrics, sockets.admin)?;
     control::spawn(daemon, identity, Arc::clone(&hub), log.clone(), sockets.peer)?;
-    bound::announce(&settings.daemon, settings.listen_addr);
+    sockets::announce(&settings.daemon, settings.listen_addr);
     let common = Arc::new(Common {
         secret: seal::Secret::fleet(&settings.daemon.fleet_secret),
         spans: logging::span_sink(&settings.daemon),
@@ -159,7 +159,7 @@
             links: links::Links::new(&common),
             asks,
             common,
-            silent: RefCell::default(),
+            backoffs: RefCell::default(),
             retry_budget: RefCell::default(),
             active_by_account: RefCell::default(),
             token_budgets: RefCell::default(),
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -76,7 +76,7 @@
                 attempt.outcome = refusal.kind.answer().code.into();
                 story.attempts.push(attempt);
                 if refusal.kind == error::Kind::LinkLost {
-                    worker.silent.borrow_mut().missed(target, worker.now_ms());
+                    worker.backoffs.borrow_mut().record_timeout(target, worker.now_ms());
                 }
                 let may_retry = refusal.may_try_other(request.repeatable);
                 last_refusal = Some(merge_refusals(last_refusal, refusal));
@@ -210,12 +210,13 @@
     request: &intake::Request,
     places: &'a [membership::Place],
     tried: &HashSet<placement::Target>,
-    skip_silent: bool,
+    skip_backed_off: bool,
 ) -> Vec<&'a membership::Place> {
     let now_ms = worker.now_ms();
-    let silent = worker.silent.borrow();
-    let avoid =
-        |target| tried.contains(&target) || (skip_silent && silent.is_silent(target, now_ms));
+    let backoffs = worker.backoffs.borrow();
+    let avoid = |target| {
+        tried.contains(&target) || (skip_backed_off && backoffs.is_backed_off(target, now_ms))
+    };
     // With an idempotency key any endpoint may already hold the answer, so all are asked.
     let width = match request.idempotency {
         Some(_) => MAX_HOLDERS_ASKED,
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -130,7 +130,7 @@
             is_joining: role == Role::Joining,
             is_aggregating: role == Role::Aggregator,
             live: u16::try_from(self.peers.live_count(now_ms)).unwrap_or(u16::MAX),
-            lease: local.lease,
+            term_notice: local.term_notice,
             admission_ages: local.admission_ages,
             evacuations: local.evacuations.clone(),
         }
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -224,7 +224,7 @@
     request: PullRequest,
 ) -> anyhow::Result<PullResponse> {
     let mut stream = TcpStream::connect(from).await?;
-    let request = seal::bytes(&control.secret, &request)?;
+    let request = seal::seal_bytes(&control.secret, &request)?;
     stream.write_u32(request.len() as u32).await?;
     stream.write_all(&request).await?;
     let bytes = read_bytes(&mut stream, MAX_RESPONSE_BYTES).await?;
@@ -291,7 +291,7 @@
             soft_state: soft_state(control, request.scope),
         }
     };
-    let bytes = seal::bytes(&control.secret, &response)?;
+    let bytes = seal::seal_bytes(&control.secret, &response)?;
     stream.write_u32(bytes.len() as u32).await?;
     stream.write_all(&bytes).await?;
     stream.shutdown().await?;
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use crate::{config, lease, orders, pace, queue, settings, spread};
+use crate::{config, latency, lease, orders, queue, settings, spread};
 
 /// Number of recent requests whose prompt prefix is remembered.
 const MAX_RECENT_PREFIXES: usize = 1024;
@@ -53,7 +53,7 @@
     config_version: Cell<u64>,
     slots: Cell<usize>,
     pub running: Cell<usize>,
-    pub pace: RefCell<pace::Pace>,
+    pub latency: RefCell<latency::LatencyEstimator>,
     pub prefixes: RefCell<RecentPrefixes>,
     fence: RefCell<orders::Fence>,
     /// End of an ordered drain, until when the endpoint accepts no new requests. A drain order expires
@@ -76,7 +76,7 @@
             config_version: Cell::new(0),
             slots: Cell::new(1),
             running: Cell::new(0),
-            pace: RefCell::default(),
+            latency: RefCell::default(),
             prefixes: RefCell::default(),
             fence: RefCell::default(),
             draining_until_ms: Cell::new(0),
@@ -135,8 +135,10 @@
         share: u32,
         now_ms: u64,
     ) -> u32 {
-        let ahead = self.queue.borrow().ahead_of(class, account, share);
-        let pace = self.pace.borrow();
-        pace.wait_ms(ahead, self.running.get(), self.slots()).saturating_add(pace.start_ms(now_ms))
+        let ahead = self.queue.borrow().jobs_ahead(class, account, share);
+        let latency = self.latency.borrow();
+        latency
+            .wait_ms(ahead, self.running.get(), self.slots())
+            .saturating_add(latency.start_ms(now_ms))
     }
 }
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -212,9 +212,9 @@
             return Err(refusal.retry_after_ms(expected_ms.saturating_sub(max_ms as u32).max(1)));
         }
         let run = self.insert(submit, outbox, now_ms);
-        let give_up_at_ms =
+        let expires_at_ms =
             max_wait_ms.map_or(run.deadline_ms, |max_ms| run.deadline_ms.min(now_ms + max_ms));
-        let output_tokens = endpoint.pace.borrow().output_tokens(run.submit.max_tokens);
+        let output_tokens = endpoint.latency.borrow().output_tokens(run.submit.max_tokens);
         let job = queue::Job {
             id: slotmap::Key::data(&run.key).as_ffi(),
             class,
@@ -222,7 +222,7 @@
             share,
             estimate_tokens: u64::from(run.submit.prompt_tokens) + output_tokens,
             target_at_ms: now_ms + u64::from(run.submit.target_ms),
-            give_up_at_ms,
+            expires_at_ms,
         };
         self.enqueue(endpoint, &run, job);
         self.start_queued(endpoint);
@@ -265,12 +265,12 @@
     fn enqueue(&self, endpoint: &endpoint::Endpoint, run: &Run, job: queue::Job) {
         let pushed = endpoint.queue.borrow_mut().push(job);
         match pushed {
-            queue::Pushed::Waits(ticket) => *run.phase.borrow_mut() = Phase::Queued(ticket),
-            queue::Pushed::WaitsInsteadOf(ticket, evicted) => {
+            queue::PushOutcome::Queued(ticket) => *run.phase.borrow_mut() = Phase::Queued(ticket),
+            queue::PushOutcome::QueuedEvicting(ticket, evicted) => {
                 *run.phase.borrow_mut() = Phase::Queued(ticket);
                 self.refuse_job(endpoint, &evicted, error::Kind::QueueFull);
             }
-            queue::Pushed::Refused(job) => {
+            queue::PushOutcome::Refused(job) => {
                 self.refuse_job(endpoint, &job, error::Kind::QueueFull);
             }
         }
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -62,7 +62,7 @@
     }
     if outcome.is_ok() {
         let service_ms = side.now_ms() - started_ms;
-        endpoint.pace.borrow_mut().finished(service_ms, output_tokens);
+        endpoint.latency.borrow_mut().finished(service_ms, output_tokens);
     }
     if !run.sent.get() {
         return;
@@ -98,7 +98,7 @@
     match &outcome {
         Ok(()) => {
             let state = claims::State::Done(saved(&run.answer.borrow()));
-            if !claims::settle(&side.platform, &mut claim, state.clone()).await {
+            if !claims::record_outcome(&side.platform, &mut claim, state.clone()).await {
                 settle_in_background(side, PendingUpdate::Settle(claim, state));
             }
         }
@@ -127,13 +127,13 @@
     };
     let outcome = claims::claim(&side.platform, key, record, |holder| side.is_alive(holder)).await;
     match outcome {
-        claims::Outcome::Go(claim) => Ok(Some(claim)),
+        claims::Outcome::Claimed(claim) => Ok(Some(claim)),
         claims::Outcome::Replay(saved) => {
             replay(run, saved)?;
             Ok(None)
         }
-        claims::Outcome::Refuse { refusal, open } => {
-            if let Some(claim) = open {
+        claims::Outcome::Refuse { refusal, unconfirmed } => {
+            if let Some(claim) = unconfirmed {
                 settle_in_background(side, PendingUpdate::Release(claim));
             }
             Err(refusal)
@@ -177,7 +177,7 @@
             let settled = match &mut update {
                 PendingUpdate::Release(claim) => claims::release(&side.platform, claim).await,
                 PendingUpdate::Settle(claim, state) => {
-                    claims::settle(&side.platform, claim, state.clone()).await
+                    claims::record_outcome(&side.platform, claim, state.clone()).await
                 }
             };
             if settled {
@@ -355,7 +355,7 @@
     if let Some(endpoint) = side.endpoint(run.submit.endpoint) {
         let now_ms = side.now_ms();
         let after_ms = now_ms - sent_ms;
-        endpoint.pace.borrow_mut().first_token(after_ms, now_ms);
+        endpoint.latency.borrow_mut().first_token(after_ms, now_ms);
     }
 }
 
--- a/tests/gateway/succession.rs
+++ b/tests/gateway/succession.rs
@@ -1,11 +1,11 @@
 //! Succession of the duties' lease: a new holder takes over without a gap, and never alongside the former
 //! one.
 
-use briarwinch::lease::{Contender, Record, Seen, Step, TERMS, Told};
+use briarwinch::lease::{Contender, Record, Step, TIMING, TermNotice, VersionedRecord};
 
 fn holding(name: &str, now_ms: u64) -> (Contender, Record) {
-    let mut contender = Contender::new(name.into(), 1, TERMS);
-    contender.read(Seen { version: 0, record: None }, now_ms, now_ms);
+    let mut contender = Contender::new(name.into(), 1, TIMING);
+    contender.read(VersionedRecord { version: 0, record: None }, now_ms, now_ms);
     let Step::Write(write) = contender.step(now_ms) else {
         panic!("a free lease is taken");
     };
@@ -16,17 +16,17 @@
 /// A stopping entry must release the lease. If it stopped stepping as soon as it no longer acts under the
 /// lease, it would never release it, and no entry would report usage for a whole term.
 #[test]
-fn a_stopping_holder_is_engaged_until_the_lease_is_released() {
+fn a_stopping_holder_must_step_until_the_lease_is_released() {
     let (mut contender, _) = holding("one", 1_000);
     contender.release();
     assert!(contender.epoch(1_100).is_none(), "no act under a lease that is being released");
-    assert!(contender.is_engaged());
+    assert!(contender.must_step());
     let Step::Write(write) = contender.step(1_100) else {
         panic!("the lease is released");
     };
     assert_eq!(write.record.term_ms, 0);
     contender.written(6, 1_101);
-    assert!(!contender.is_engaged());
+    assert!(!contender.must_step());
 }
 
 /// An entry that reads a lease record for the first time waits for a whole term. Standby entries must read
@@ -34,19 +34,19 @@
 #[test]
 fn a_standby_entry_takes_over_as_soon_as_the_term_is_over() {
     let (_, record) = holding("one", 0);
-    let mut next = Contender::new("two".into(), 2, TERMS);
-    assert_eq!(next.step_aside(100), Step::Read);
-    next.read(Seen { version: 5, record: Some(record) }, 100, 101);
-    assert!(!matches!(next.step_aside(200), Step::Read), "it reads only at intervals");
-    let free_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
+    let mut next = Contender::new("two".into(), 2, TIMING);
+    assert_eq!(next.step_passive(100), Step::Read);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, 100, 101);
+    assert!(!matches!(next.step_passive(200), Step::Read), "it reads only at intervals");
+    let free_ms = 101 + TIMING.term_ms + TIMING.margin_ms;
     assert!(!matches!(next.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(next.step(free_ms), Step::Write(_)));
 }
 
 fn taking_over(from: &Record) -> (Contender, Record, u64) {
-    let mut next = Contender::new("two".into(), 2, TERMS);
-    next.read(Seen { version: 5, record: Some(from.clone()) }, 100, 101);
-    let now_ms = 101 + TERMS.term_ms + TERMS.margin_ms;
+    let mut next = Contender::new("two".into(), 2, TIMING);
+    next.read(VersionedRecord { version: 5, record: Some(from.clone()) }, 100, 101);
+    let now_ms = 101 + TIMING.term_ms + TIMING.margin_ms;
     let Step::Write(write) = next.step(now_ms) else {
         panic!("the term is over");
     };
@@ -62,7 +62,7 @@
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
     assert_eq!(next.step(now_ms + 1_200), Step::Read);
-    next.read(Seen { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
     let Step::Write(again) = next.step(now_ms + 1_201) else {
         panic!("it retries");
     };
@@ -79,14 +79,14 @@
     let (_, record) = holding("one", 0);
     let (mut next, first, now_ms) = taking_over(&record);
     next.no_answer(now_ms + 1_200);
-    next.read(Seen { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
+    next.read(VersionedRecord { version: 5, record: Some(record) }, now_ms + 1_200, now_ms + 1_201);
     assert!(matches!(next.step(now_ms + 1_201), Step::Write(_)));
     next.refused(now_ms + 1_210);
     assert_eq!(next.step(now_ms + 1_210), Step::Read);
     let epoch = first.epoch;
-    next.read(Seen { version: 6, record: Some(first) }, now_ms + 1_210, now_ms + 1_211);
+    next.read(VersionedRecord { version: 6, record: Some(first) }, now_ms + 1_210, now_ms + 1_211);
     assert_eq!(next.epoch(now_ms + 1_212), Some(epoch));
-    let end_ms = now_ms + TERMS.term_ms - TERMS.margin_ms;
+    let end_ms = now_ms + TIMING.term_ms - TIMING.margin_ms;
     assert_eq!(next.epoch(end_ms), None, "its term counts from the write that took effect");
 }
 
@@ -95,36 +95,36 @@
 #[test]
 fn a_restarted_entry_takes_its_former_lease_at_once() {
     let (_, record) = holding("one@127.0.0.1:80", 0);
-    let mut again = Contender::of_bound_address("one@127.0.0.1:80".into(), 9, TERMS);
-    again.read(Seen { version: 5, record: Some(record.clone()) }, 700, 701);
+    let mut again = Contender::with_exclusive_name("one@127.0.0.1:80".into(), 9, TIMING);
+    again.read(VersionedRecord { version: 5, record: Some(record.clone()) }, 700, 701);
     let Step::Write(write) = again.step(701) else {
         panic!("its former process has ended");
     };
     assert!(write.record.epoch > record.epoch, "calls of the former process have an older epoch");
-    let mut other = Contender::of_bound_address("two@127.0.0.2:80".into(), 9, TERMS);
-    other.read(Seen { version: 5, record: Some(record) }, 700, 701);
+    let mut other = Contender::with_exclusive_name("two@127.0.0.2:80".into(), 9, TIMING);
+    other.read(VersionedRecord { version: 5, record: Some(record) }, 700, 701);
     assert!(!matches!(other.step(701), Step::Write(_)), "it waits for another entry's term");
 }
 
 /// A holder stops while the store is unavailable, so it cannot release its lease there. Contenders that are
 /// not informed would wait for its term although there is no holder.
 #[test]
-fn a_stopping_holder_announces_that_its_term_is_over() {
+fn a_stopping_holder_notifies_contenders_that_its_term_is_over() {
     let (mut holder, _) = holding("one", 1_000);
-    let mut contender = Contender::new("two".into(), 2, TERMS);
-    let told = holder.tells(1_100).expect("it holds the lease");
-    assert!(!told.is_over && told.left_ms > 0);
-    contender.told(told, 1_150);
+    let mut contender = Contender::new("two".into(), 2, TIMING);
+    let notice = holder.notice(1_100).expect("it holds the lease");
+    assert!(!notice.is_over && notice.left_ms > 0);
+    contender.receive_notice(notice, 1_150);
     assert!(!matches!(contender.step(1_150), Step::Write(_)));
     holder.release();
-    let told = holder.tells(1_200).expect("it held the lease");
-    assert!(told.is_over);
-    contender.told(told, 1_250);
+    let notice = holder.notice(1_200).expect("it held the lease");
+    assert!(notice.is_over);
+    contender.receive_notice(notice, 1_250);
     let Step::Write(write) = contender.step(1_250) else {
         panic!("there is no holder");
     };
-    assert_eq!(write.if_version, told.version);
-    assert!(write.record.epoch > told.epoch);
+    assert_eq!(write.if_version, notice.version);
+    assert!(write.record.epoch > notice.epoch);
 }
 
 /// The holder dies. A contender that was informed of the term's end takes over at that time without having
@@ -132,18 +132,18 @@
 #[test]
 fn an_informed_contender_takes_over_when_the_term_ends() {
     let (holder, _) = holding("one", 1_000);
-    let mut contender = Contender::new("two".into(), 2, TERMS);
-    contender.told(holder.tells(1_300).expect("it holds the lease"), 1_400);
-    let end_ms = 1_000 + TERMS.term_ms - TERMS.margin_ms;
-    let free_ms = end_ms + 100 + TERMS.margin_ms;
+    let mut contender = Contender::new("two".into(), 2, TIMING);
+    contender.receive_notice(holder.notice(1_300).expect("it holds the lease"), 1_400);
+    let end_ms = 1_000 + TIMING.term_ms - TIMING.margin_ms;
+    let free_ms = end_ms + 100 + TIMING.margin_ms;
     assert!(!matches!(contender.step(free_ms - 1), Step::Write(_)));
     assert!(matches!(contender.step(free_ms), Step::Write(_)));
 }
 
 /// Messages arrive late and out of order. One about an older term must not end a newer one.
 #[test]
-fn announcements_of_an_older_term_are_ignored() {
-    let told = Told {
+fn notices_of_an_older_term_are_ignored() {
+    let notice = TermNotice {
         version: 9,
         boot: 1,
         epoch: briarwinch::lease::Epoch(3),
@@ -151,9 +151,9 @@
         idle_ms: 0,
         is_over: false,
     };
-    let mut contender = Contender::new("two".into(), 2, TERMS);
-    contender.told(told, 100);
-    let older = Told {
+    let mut contender = Contender::new("two".into(), 2, TIMING);
+    contender.receive_notice(notice, 100);
+    let older = TermNotice {
         version: 8,
         boot: 4,
         epoch: briarwinch::lease::Epoch(2),
@@ -161,6 +161,6 @@
         idle_ms: 0,
         is_over: true,
     };
-    contender.told(older, 200);
+    contender.receive_notice(older, 200);
     assert!(!matches!(contender.step(2_000), Step::Write(_)));
 }
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -382,7 +382,7 @@
         has_store: true,
         holds_duties: node.holds_duties,
         is_stopping: node.is_stopping,
-        lease: None,
+        term_notice: None,
         admission_ages: admission::AdmissionControl::default().ages(now_ms),
         evacuations: node.evacuations.snapshot(now_ms),
         limits: node.limits.updates(now_ms),
--- a/tests/properties/answers.rs
+++ b/tests/properties/answers.rs
@@ -1,9 +1,9 @@
 //! Property tests of the answers kept by a side (offsets, credit, resumed readers), of token counting, and of
 //! the token and retry budgets.
 
-use briarwinch::admission::{Budgets, part_per_s};
+use briarwinch::admission::{Budgets, thread_rate_per_s};
 use briarwinch::answer::{Answer, Ending, Reader, Top};
-use briarwinch::retry::{Budget, most_retries};
+use briarwinch::retry::{Budget, max_retries};
 use briarwinch::sse::Counter;
 use briarwinch::wire::{StreamId, ToEntry};
 use proptest::prelude::*;
@@ -120,7 +120,7 @@
         rate_per_s in 100..5000_u32,
     ) {
         let mut entries = vec![Budgets::default(); 4];
-        let share = part_per_s(rate_per_s, 4, 1);
+        let share = thread_rate_per_s(rate_per_s, 4, 1);
         let (mut now_ms, mut spent, mut largest) = (0, 0, 0);
         for (cost, pause_ms, entry) in costs {
             now_ms += pause_ms;
@@ -149,7 +149,7 @@
         for (number, failed) in (1_u64..).zip(failures) {
             budget.earn();
             retries += u64::from(failed && budget.spend());
-            prop_assert!(retries <= most_retries(number));
+            prop_assert!(retries <= max_retries(number));
         }
     }
 }
