--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -58,7 +58,7 @@
     fence: RefCell<orders::Fence>,
     /// End of an ordered drain, until when the endpoint accepts no new requests. A drain order expires
     /// unless it is repeated, so that a duty holder that dies between drain and stop does not leave
-    /// the endpoint idle for ever.
+    /// the endpoint idle forever.
     draining_until_ms: Cell<u64>,
 }
 
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -20,9 +20,9 @@
 const MAX_BUFFERED_BYTES: usize = 8 << 20;
 /// Attempts to update a claim in the store, and the initial and the maximum backoff between
 /// them.
-const SETTLE_ATTEMPTS: u32 = 40;
-const SETTLE_BACKOFF_MS: u64 = 250;
-const SETTLE_MAX_BACKOFF_MS: u64 = 15_000;
+const CLAIM_UPDATE_ATTEMPTS: u32 = 40;
+const CLAIM_UPDATE_BACKOFF_MS: u64 = 250;
+const CLAIM_UPDATE_MAX_BACKOFF_MS: u64 = 15_000;
 
 /// Executes a started job until its answer has ended.
 pub(super) async fn run(side: Rc<Side>, run: Rc<Run>, mut started: queue::Started) {
@@ -91,7 +91,7 @@
     };
     // The key may have been withdrawn, or the deadline may have passed, during the call to the store.
     if let Some(refusal) = run.stopped.borrow().clone() {
-        settle_in_background(side, PendingUpdate::Release(claim));
+        update_in_background(side, PendingUpdate::Release(claim));
         return Err(error::Refusal { ran: error::Ran::No, ..refusal });
     }
     let outcome = exchange(side, run, started, counter).await;
@@ -99,15 +99,15 @@
         Ok(()) => {
             let state = claims::State::Done(saved(&run.answer.borrow()));
             if !claims::record_outcome(&side.platform, &mut claim, state.clone()).await {
-                settle_in_background(side, PendingUpdate::Settle(claim, state));
+                update_in_background(side, PendingUpdate::Outcome(claim, state));
             }
         }
         Err(refusal) if refusal.ran == error::Ran::No => {
             if !claims::release(&side.platform, &claim).await {
-                settle_in_background(side, PendingUpdate::Release(claim));
+                update_in_background(side, PendingUpdate::Release(claim));
             }
         }
-        Err(_) => settle_in_background(side, PendingUpdate::Settle(claim, claims::State::Unknown)),
+        Err(_) => update_in_background(side, PendingUpdate::Outcome(claim, claims::State::Unknown)),
     }
     outcome
 }
@@ -134,7 +134,7 @@
         }
         claims::Outcome::Refuse { refusal, unconfirmed } => {
             if let Some(claim) = unconfirmed {
-                settle_in_background(side, PendingUpdate::Release(claim));
+                update_in_background(side, PendingUpdate::Release(claim));
             }
             Err(refusal)
         }
@@ -164,26 +164,27 @@
 /// An update of a claim that the store has not confirmed yet.
 enum PendingUpdate {
     Release(claims::Claim),
-    Settle(claims::Claim, claims::State),
+    Outcome(claims::Claim, claims::State),
 }
 
 /// Retries the update of a claim in the background while the store is unavailable, so that the caller does
 /// not wait for it.
-fn settle_in_background(side: &Rc<Side>, update: PendingUpdate) {
+fn update_in_background(side: &Rc<Side>, update: PendingUpdate) {
     let side = Rc::clone(side);
     tokio::task::spawn_local(async move {
         let mut update = update;
-        for attempt in 0..SETTLE_ATTEMPTS {
-            let settled = match &mut update {
+        for attempt in 0..CLAIM_UPDATE_ATTEMPTS {
+            let confirmed = match &mut update {
                 PendingUpdate::Release(claim) => claims::release(&side.platform, claim).await,
-                PendingUpdate::Settle(claim, state) => {
+                PendingUpdate::Outcome(claim, state) => {
                     claims::record_outcome(&side.platform, claim, state.clone()).await
                 }
             };
-            if settled {
+            if confirmed {
                 return;
             }
-            let max_ms = (SETTLE_BACKOFF_MS << attempt.min(10)).min(SETTLE_MAX_BACKOFF_MS);
+            let max_ms =
+                (CLAIM_UPDATE_BACKOFF_MS << attempt.min(10)).min(CLAIM_UPDATE_MAX_BACKOFF_MS);
             let backoff_ms = rand::random_range(max_ms / 2..=max_ms);
             time::sleep(Duration::from_millis(backoff_ms)).await;
         }
