--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -4,12 +4,12 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
+use briarwinch::latency::LatencyEstimator;
 use briarwinch::membership::EndpointLocation;
-use briarwinch::pace::Pace;
-use briarwinch::placement::{self, Silent, Target};
-use briarwinch::queue::{ClassRule, Job, Pushed, Queue, Started};
+use briarwinch::placement::{self, Backoffs, Target};
+use briarwinch::queue::{ClassRule, Job, PushOutcome, Queue, Started};
 use briarwinch::retry::Budget;
-use briarwinch::scaling::{Plan, Planner, Seen};
+use briarwinch::scaling::{Observation, Plan, Planner};
 use briarwinch::{config, wire};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -79,7 +79,7 @@
 struct Endpoint {
     engine: Engine,
     waiting: Waiting,
-    pace: Pace,
+    latency: LatencyEstimator,
     runs: HashMap<u64, Run>,
     place: EndpointLocation,
     standing: Standing,
@@ -102,7 +102,7 @@
     random: StdRng,
     turn: usize,
     own: Vec<Vec<usize>>,
-    silent: Vec<Silent>,
+    silent: Vec<Backoffs>,
     budget: Vec<Budget>,
     planner: Planner,
     endpoint_ms: u64,
@@ -147,7 +147,7 @@
             random: StdRng::seed_from_u64(seed ^ 0xbeef),
             turn: 0,
             own: vec![vec![0; 64]; ENTRIES],
-            silent: vec![Silent::default(); ENTRIES],
+            silent: vec![Backoffs::default(); ENTRIES],
             budget: vec![Budget::default(); ENTRIES],
             planner: Planner::default(),
             endpoint_ms: 0,
@@ -183,7 +183,7 @@
         self.endpoints.push(Endpoint {
             engine: Engine::new(1.0),
             waiting,
-            pace: Pace::default(),
+            latency: LatencyEstimator::default(),
             runs: HashMap::new(),
             place: EndpointLocation {
                 work_addr,
@@ -218,7 +218,7 @@
             Happens::Deaths => self.deaths(),
             Happens::Up(endpoint) => {
                 self.endpoints[endpoint].standing = Standing::Up;
-                self.planner.came_up(self.now_ms);
+                self.planner.endpoint_started(self.now_ms);
             }
             Happens::Look => self.look(),
             Happens::Report => self.report(),
@@ -296,7 +296,7 @@
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
         let silent = &self.silent[entry];
-        let avoid = |target: Target| silent.is_silent(target, now_ms);
+        let avoid = |target: Target| silent.is_backed_off(target, now_ms);
         let picked = placement::pick(&places, &zone, head, ASK_WIDTH, avoid, &mut self.random);
         let numbers: Vec<usize> = picked
             .iter()
@@ -308,9 +308,9 @@
         for number in numbers {
             let target = Target::of(&self.endpoints[number].place);
             match self.offer(number, request) {
-                None => self.silent[entry].missed(target, now_ms),
+                None => self.silent[entry].record_timeout(target, now_ms),
                 Some(offer) => {
-                    self.silent[entry].answered(target);
+                    self.silent[entry].record_answer(target);
                     let same = self.endpoints[number].place.zone == zone.as_str();
                     let cost = placement::cost_ms(&offer, same);
                     if best.is_none_or(|(least, _)| cost < least) {
@@ -331,7 +331,7 @@
         let class = config::ClassKey(request.class as u16);
         let ahead = match &endpoint.waiting {
             Waiting::Router(queue) => {
-                queue.ahead_of(class, &format!("account-{}", request.account), 1)
+                queue.jobs_ahead(class, &format!("account-{}", request.account), 1)
             }
             Waiting::Ordered { jobs, strict } => {
                 let priority = |class: config::ClassKey| self.rules[usize::from(class.0)].priority;
@@ -339,11 +339,11 @@
                 jobs.iter().filter(before).count()
             }
         };
-        let wait_ms = endpoint.pace.wait_ms(ahead, endpoint.engine.running, SLOTS);
+        let wait_ms = endpoint.latency.wait_ms(ahead, endpoint.engine.running, SLOTS);
         Some(wire::Offer {
             nonce: 0,
             endpoint: wire::EndpointIndex(0),
-            first_token_ms: wait_ms.saturating_add(endpoint.pace.start_ms(self.now_ms)),
+            first_token_ms: wait_ms.saturating_add(endpoint.latency.start_ms(self.now_ms)),
             leaving: false,
             knows_prefix: endpoint.heads.contains(&request.head),
             holds_answer: false,
@@ -364,7 +364,7 @@
             self.own[of.entry][number] -= 1;
             return self.fail(request);
         }
-        let output = endpoint.pace.output_tokens(8_000);
+        let output = endpoint.latency.output_tokens(8_000);
         let job = Job {
             id: request as u64,
             class: config::ClassKey(of.class as u16),
@@ -372,12 +372,12 @@
             share: 1,
             estimate_tokens: u64::from(of.prompt_tokens) + output,
             target_at_ms: of.arrived_ms + u64::from(class.latency_target_ms),
-            give_up_at_ms: self.now_ms + longest.unwrap_or(PATIENCE_MS).min(PATIENCE_MS),
+            expires_at_ms: self.now_ms + longest.unwrap_or(PATIENCE_MS).min(PATIENCE_MS),
         };
         let refused = match &mut endpoint.waiting {
             Waiting::Router(queue) => match queue.push(job) {
-                Pushed::Waits(_) => None,
-                Pushed::WaitsInsteadOf(_, out) | Pushed::Refused(out) => Some(out),
+                PushOutcome::Queued(_) => None,
+                PushOutcome::QueuedEvicting(_, out) | PushOutcome::Refused(out) => Some(out),
             },
             Waiting::Ordered { jobs, strict } => {
                 jobs.push_back(job);
@@ -453,7 +453,7 @@
             return;
         };
         run.first_ms = Some(now_ms);
-        endpoint.pace.first_token(now_ms - run.began_ms, now_ms);
+        endpoint.latency.first_token(now_ms - run.began_ms, now_ms);
         self.requests[run.request].first_ms = Some(now_ms);
     }
 
@@ -466,7 +466,7 @@
         endpoint.engine.running -= 1;
         let of = &mut self.requests[run.request];
         of.whole = true;
-        endpoint.pace.finished(now_ms - run.began_ms, of.output);
+        endpoint.latency.finished(now_ms - run.began_ms, of.output);
         if let (Some(started), Waiting::Router(queue)) = (run.started, &mut endpoint.waiting) {
             queue.finish(started, u64::from(of.prompt_tokens) + of.output);
         }
@@ -526,7 +526,7 @@
             .collect();
         let is_starting = |endpoint: &&Endpoint| endpoint.standing == Standing::Starting;
         let starting = self.endpoints.iter().filter(is_starting).count() as u32;
-        let seen = Seen {
+        let seen = Observation {
             live: live.len() as u32,
             starting,
             running: live.iter().map(|n| self.endpoints[*n].engine.running as u32).sum(),
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -66,7 +66,7 @@
         share: 1,
         estimate_tokens: 500,
         target_at_ms: id,
-        give_up_at_ms: id + 100_000,
+        expires_at_ms: id + 100_000,
     }
 }
 
@@ -97,7 +97,7 @@
     let ahead = time_ns(200, || {
         for _ in 0..200 {
             let queue = black_box(&queue);
-            black_box(queue.ahead_of(config::ClassKey(3), "account-7", 1));
+            black_box(queue.jobs_ahead(config::ClassKey(3), "account-7", 1));
         }
     });
     print("queue: jobs ahead with 10000 waiting of 3400 accounts", "ns", ahead);
@@ -105,7 +105,7 @@
     let ahead = time_ns(2_000, || {
         for _ in 0..2_000 {
             let small = black_box(&small);
-            black_box(small.ahead_of(config::ClassKey(3), "account-7", 1));
+            black_box(small.jobs_ahead(config::ClassKey(3), "account-7", 1));
         }
     });
     print("queue: jobs ahead with 200 waiting", "ns", ahead);
@@ -165,12 +165,12 @@
     });
     let both = time_ns(2_000, || {
         for _ in 0..2_000 {
-            let bytes = seal::datagram(&secret, &ask).expect("short");
+            let bytes = seal::seal_datagram(&secret, &ask).expect("short");
             black_box(seal::open_datagram::<wire::Datagram>(&secret, &bytes).expect("sealed"));
         }
     });
     print("ask: seal and open", "ns", both);
-    let bytes = seal::datagram(&secret, &ask).expect("short");
+    let bytes = seal::seal_datagram(&secret, &ask).expect("short");
     print("ask: size", "bytes", bytes.len() as f64);
     let offer = wire::Datagram::Offer(wire::Offer {
         nonce: u64::MAX,
@@ -182,14 +182,14 @@
         running: 20,
         waiting: 100,
     });
-    let bytes = seal::datagram(&secret, &offer).expect("short");
+    let bytes = seal::seal_datagram(&secret, &offer).expect("short");
     print("offer: size", "bytes", bytes.len() as f64);
     let shared = fleet();
     let digest = shared.digest(([127, 0, 0, 1], 1).into(), false);
     let one = time_ns(2_000, || {
         for _ in 0..2_000 {
             let datagram = wire::Datagram::Digest(digest.clone());
-            let bytes = seal::datagram(&secret, &datagram).expect("short");
+            let bytes = seal::seal_datagram(&secret, &datagram).expect("short");
             let Ok(wire::Datagram::Digest(digest)) = seal::open_datagram(&secret, &bytes) else {
                 unreachable!("sealed above")
             };
@@ -197,7 +197,7 @@
         }
     });
     print("digest: seal, open and compare with 340 daemons", "ns", one);
-    let bytes = seal::datagram(&secret, &wire::Datagram::Digest(digest)).expect("short");
+    let bytes = seal::seal_datagram(&secret, &wire::Datagram::Digest(digest)).expect("short");
     print("digest: size", "bytes", bytes.len() as f64);
 }
 
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use briarwinch::gossip::SharedState;
-use briarwinch::{bound, control, hub, link, membership, seal, settings, wire};
+use briarwinch::{control, hub, link, membership, seal, settings, sockets, wire};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::task;
 
@@ -50,7 +50,7 @@
 
 fn spawn(number: usize, seeds: Vec<SocketAddr>) -> Daemon {
     let mut settings = settings(number, seeds);
-    let sockets = bound::Pair::bind(&mut settings.peer_addr).expect("a free port");
+    let sockets = sockets::TcpUdpPair::bind(&mut settings.peer_addr).expect("a free port");
     let addr = settings.peer_addr;
     let hub = Arc::new(hub::Hub::default());
     let identity = control::Identity {
@@ -140,7 +140,7 @@
 async fn announce_and_serve(addr: SocketAddr, version: u64) {
     let secret = seal::Secret::fleet(SECRET);
     let mut own: SocketAddr = ([127, 0, 0, 1], 0).into();
-    let sockets = bound::Pair::bind(&mut own).expect("a free port");
+    let sockets = sockets::TcpUdpPair::bind(&mut own).expect("a free port");
     let listener = TcpListener::from_std(sockets.tcp).expect("a listener");
     let udp = UdpSocket::from_std(sockets.udp).expect("a socket");
     let mut shared = SharedState::default();
@@ -151,7 +151,7 @@
     );
     shared.merge_config(wire::ConfigText { version, text });
     let digest = wire::Datagram::Digest(shared.digest(own, true));
-    let bytes = seal::datagram(&secret, &digest).expect("a digest that fits a datagram");
+    let bytes = seal::seal_datagram(&secret, &digest).expect("a digest that fits a datagram");
     let shared = Rc::new(shared);
     udp.send_to(&bytes, addr).await.expect("a send on loopback");
     for _ in 0..64 {
--- a/src/gateway/duties/election.rs
+++ b/src/gateway/duties/election.rs
@@ -9,14 +9,14 @@
 use crate::gateway::control::{Control, Platform};
 use crate::gateway::duties::{billing, scaling};
 use crate::gateway::fleet::peers;
-use crate::{clock, contest, lease};
+use crate::{clock, lease, lease_io};
 
 const LEASE_KEY: &str = "briarwinch-leases/duties";
 /// Timing of the lease. A usage report is due ten seconds after its window, also if the holder dies in
 /// between: contenders read the last renewal within 1.3 s, wait 4.4 s, and report. The term is not shorter,
 /// since a holder must survive an unanswered call of 1.2 s, and the acts of two holders must be three
 /// seconds apart.
-const TERMS: lease::Terms = lease::Terms {
+const TIMING: lease::Timing = lease::Timing {
     term_ms: 4_000,
     margin_ms: 400,
     renew_ms: 1_300,
@@ -47,11 +47,12 @@
 pub(in crate::gateway) async fn contend<P: Platform>(control: Rc<Control<P>>) {
     let settings = &control.shared.settings;
     let name = format!("{}@{}", settings.id, settings.peer_addr());
-    let mut contender = lease::Contender::of_bound_address(name.into(), control.shared.boot, TERMS);
+    let mut contender =
+        lease::Contender::with_exclusive_name(name.into(), control.shared.boot, TIMING);
     let mut billing = billing::Billing::default();
     let mut scaling = scaling::Scaling::default();
     let mut vacant_since_ms = None;
-    // Boot id of another entry that has announced its term, and the time of its last act.
+    // Boot id of another entry that has sent a notice about its term, and the time of its last act.
     let mut other_last_acted: Option<(u64, u64)> = None;
     let mut act_from_ms = 0;
     loop {
@@ -59,14 +60,14 @@
         if control.shared.is_draining() {
             contender.release();
         }
-        if let Some((announced, at_ms)) = control.received_lease.take() {
-            contender.told(announced, at_ms);
-            other_last_acted = Some((announced.boot, at_ms.saturating_sub(announced.idle_ms)));
+        if let Some((notice, at_ms)) = control.received_term_notice.take() {
+            contender.receive_notice(notice, at_ms);
+            other_last_acted = Some((notice.boot, at_ms.saturating_sub(notice.idle_ms)));
         }
         let held = contender.epoch(now_ms).is_some();
-        update_own_lease(&control, &contender, held);
-        if !contender.is_engaged() && !may_contend(&control, now_ms, &mut vacant_since_ms) {
-            if is_standby(&control, now_ms) && contender.step_aside(now_ms) == lease::Step::Read {
+        update_own_term_notice(&control, &contender, held);
+        if !contender.must_step() && !may_contend(&control, now_ms, &mut vacant_since_ms) {
+            if is_standby(&control, now_ms) && contender.step_passive(now_ms) == lease::Step::Read {
                 read_lease(&control, &mut contender).await;
             }
             time::sleep(Duration::from_millis(MAX_PAUSE_MS)).await;
@@ -87,14 +88,14 @@
             scaling = scaling::Scaling::default();
             act_from_ms =
                 before.map_or(0, |record| succession_end_ms(&record, other_last_acted, now_ms));
-            update_own_lease(&control, &contender, true);
+            update_own_term_notice(&control, &contender, true);
         }
         if now_ms >= act_from_ms {
             while billing.tick(&control, &contender).await == Tick::Again {
-                contender.acted(control.now_ms());
+                contender.record_action(control.now_ms());
             }
             if scaling.tick(&control, &contender).await == Tick::Again {
-                contender.acted(control.now_ms());
+                contender.record_action(control.now_ms());
             }
         }
     }
@@ -109,15 +110,15 @@
     if replaced.term_ms > 0 {
         return 0;
     }
-    // A former holder that has not announced its term may have acted just now.
-    let announced = other_last_acted.filter(|(boot, _)| *boot == replaced.boot);
-    announced.map_or(now_ms, |(_, acted_ms)| acted_ms) + SUCCESSION_MS
+    // A former holder that has sent no notice may have acted just now.
+    let last_acted = other_last_acted.filter(|(boot, _)| *boot == replaced.boot);
+    last_acted.map_or(now_ms, |(_, acted_ms)| acted_ms) + SUCCESSION_MS
 }
 
-/// Updates what this entry announces about the lease, and whether it holds it.
-fn update_own_lease<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
+/// Updates the notice about a term held here, and whether this entry holds the lease.
+fn update_own_term_notice<P>(control: &Control<P>, contender: &lease::Contender, held: bool) {
     let now_ms = control.now_ms();
-    control.own_lease.set(contender.tells(now_ms).map(|announced| (announced, now_ms)));
+    control.own_term_notice.set(contender.notice(now_ms).map(|notice| (notice, now_ms)));
     if control.holds_duties.replace(held) != held {
         slog::info!(control.log, "duties"; "held" => held);
     }
@@ -141,7 +142,7 @@
 }
 
 async fn read_lease<P: Platform>(control: &Control<P>, contender: &mut lease::Contender) {
-    let read = contest::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
+    let read = lease_io::read(&control.platform, contender, LEASE_KEY, clock::boot_ms).await;
     let is_read = read.is_ok();
     if control.is_lease_readable.replace(is_read) != is_read {
         slog::info!(control.log, "duties lease readability changed"; "readable" => is_read,
@@ -155,7 +156,7 @@
     write: lease::Write,
 ) {
     if let Err(failure) =
-        contest::write(&control.platform, contender, LEASE_KEY, &write, clock::boot_ms).await
+        lease_io::write(&control.platform, contender, LEASE_KEY, &write, clock::boot_ms).await
     {
         slog::info!(control.log, "lease not written"; "epoch" => write.record.epoch.0,
             "term_ms" => write.record.term_ms, "failure" => failure.to_string());
@@ -163,4 +164,5 @@
 }
 
 /// A peer that is considered gone is no longer considered the holder.
-const _: () = assert!(peers::PEER_TIMEOUT_MS < TERMS.term_ms, "a vacancy is noticed within a term");
+const _: () =
+    assert!(peers::PEER_TIMEOUT_MS < TIMING.term_ms, "a vacancy is noticed within a term");
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -46,7 +46,7 @@
     pub has_store: bool,
     pub holds_duties: bool,
     pub is_stopping: bool,
-    pub lease: Option<lease::Told>,
+    pub term_notice: Option<lease::TermNotice>,
     pub admission_ages: admission::Ages,
     pub evacuations: evacuation::Snapshot,
     pub limits: Vec<limits::LimitUpdate>,
@@ -58,7 +58,7 @@
 impl LocalState {
     /// Returns the part of the state that is sent at once when it changes.
     fn urgent(&self, role: Role) -> Urgent {
-        let lease = self.lease.map(|lease| (lease.version, lease.is_over));
+        let term_notice = self.term_notice.map(|notice| (notice.version, notice.is_over));
         let is_aggregating = role == Role::Aggregator;
         let flags = [self.has_store, self.holds_duties, self.is_stopping, is_aggregating];
         let versions = [
@@ -68,7 +68,7 @@
             self.limits_stamp,
         ];
         let departures = self.departures.len();
-        Urgent { versions, flags, lease, departures }
+        Urgent { versions, flags, term_notice, departures }
     }
 }
 
@@ -76,7 +76,7 @@
 struct Urgent {
     versions: [u64; 4],
     flags: [bool; 4],
-    lease: Option<(u64, bool)>,
+    term_notice: Option<(u64, bool)>,
     /// Number of endpoints that have recently announced that they leave.
     departures: usize,
 }
