--- a/src/config.rs
+++ b/src/config.rs
@@ -221,14 +221,14 @@
     ///
     /// # Errors
     /// The first mistake, with line and column.
-    pub fn parse(text: &str) -> Result<Self, jsonc::Mistake> {
+    pub fn parse(text: &str) -> Result<Self, jsonc::Error> {
         if text.len() > MAX_TEXT_BYTES {
-            let sentence = format!("the text is longer than {MAX_TEXT_BYTES} bytes");
-            return Err(jsonc::Mistake { line: 1, column: 1, sentence });
+            let message = format!("the text is longer than {MAX_TEXT_BYTES} bytes");
+            return Err(jsonc::Error { line: 1, column: 1, message });
         }
         let document = jsonc::Document::parse(text)?;
         let text: Text = document.read()?;
-        check::build(text).map_err(|(path, sentence)| document.mistake(&path, sentence))
+        check::build(text).map_err(|(path, sentence)| document.error_at(&path, sentence))
     }
 
     #[must_use]
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -1,7 +1,7 @@
 //! Reads JSON with comments into typed values, and says where a mistake stands.
 //!
-//! The text goes in; a value of the asked type comes out, or a [`Mistake`] with line, column and a
-//! plain sentence. Later checks on the typed value report by [`Path`], which is looked up in the
+//! The text goes in; a value of the asked type comes out, or a [`Error`] with line, column and a
+//! plain message. Later checks on the typed value report by [`Path`], which is looked up in the
 //! same parsed text, so they carry line and column as well.
 
 use std::fmt;
@@ -12,21 +12,21 @@
 
 /// A mistake in a text, with where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct Error {
     /// Counted from one; zero when the place is not known.
     pub line: usize,
     /// Counted from one, in characters.
     pub column: usize,
-    pub sentence: String,
+    pub message: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}, column {}: {}", self.line, self.column, self.sentence)
+        write!(f, "line {}, column {}: {}", self.line, self.column, self.message)
     }
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for Error {}
 
 /// One step of a path into a document.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::From)]
@@ -74,12 +74,12 @@
     ///
     /// # Errors
     /// The first mistake of syntax, or a field that stands twice in one object.
-    pub fn parse(text: &'a str) -> Result<Self, Mistake> {
+    pub fn parse(text: &'a str) -> Result<Self, Error> {
         check_depth(text)?;
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &OPTIONS)
-            .map_err(|error| mistake_at(text, error.range().start, error.kind().to_string()))?;
+            .map_err(|error| error_at_byte(text, error.range().start, error.kind().to_string()))?;
         let root =
-            parsed.value.ok_or_else(|| mistake_at(text, 0, "the text is empty".to_owned()))?;
+            parsed.value.ok_or_else(|| error_at_byte(text, 0, "the text is empty".to_owned()))?;
         let document = Self { text, root };
         document.check_twice(&document.root)?;
         Ok(document)
@@ -89,24 +89,24 @@
     ///
     /// # Errors
     /// The first field that is missing, unknown or of another type.
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, Mistake> {
+    pub fn read<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let value: serde_json::Value = self.root.clone().into();
         serde_path_to_error::deserialize(&value).map_err(|error| {
             let mut path = steps(error.path());
-            let sentence = error.into_inner().to_string();
-            if let Some(name) = unknown_field(&sentence)
+            let message = error.into_inner().to_string();
+            if let Some(name) = unknown_field(&message)
                 && !matches!(path.last(), Some(Step::Field(last)) if last == name)
             {
                 path.push(Step::from(name));
             }
-            self.mistake(&path, sentence)
+            self.error_at(&path, message)
         })
     }
 
     /// A mistake at the given path, or at its nearest ancestor that stands in the text.
     #[must_use]
-    pub fn mistake(&self, path: &[Step], sentence: impl Into<String>) -> Mistake {
-        mistake_at(self.text, self.locate(path), sentence.into())
+    pub fn error_at(&self, path: &[Step], message: impl Into<String>) -> Error {
+        error_at_byte(self.text, self.locate(path), message.into())
     }
 
     fn locate(&self, path: &[Step]) -> usize {
@@ -129,15 +129,15 @@
         start
     }
 
-    fn check_twice(&self, value: &ast::Value<'_>) -> Result<(), Mistake> {
+    fn check_twice(&self, value: &ast::Value<'_>) -> Result<(), Error> {
         match value {
             ast::Value::Object(object) => {
                 let mut seen = std::collections::HashSet::new();
                 for property in &object.properties {
                     if !seen.insert(property.name.as_str().to_owned()) {
-                        let sentence =
+                        let message =
                             format!("the field `{}` stands twice", property.name.as_str());
-                        return Err(mistake_at(self.text, property.range.start, sentence));
+                        return Err(error_at_byte(self.text, property.range.start, message));
                     }
                     self.check_twice(&property.value)?;
                 }
@@ -151,7 +151,7 @@
     }
 }
 
-fn check_depth(text: &str) -> Result<(), Mistake> {
+fn check_depth(text: &str) -> Result<(), Error> {
     // Brackets inside strings count too; a text with 64 of them unbalanced in one string is
     // refused by mistake, which a person can mend.
     let mut depth = 0_usize;
@@ -162,17 +162,17 @@
             _ => {}
         }
         if depth > MAX_DEPTH {
-            return Err(mistake_at(text, at, format!("nested deeper than {MAX_DEPTH} levels")));
+            return Err(error_at_byte(text, at, format!("nested deeper than {MAX_DEPTH} levels")));
         }
     }
     Ok(())
 }
 
-fn mistake_at(text: &str, byte: usize, sentence: String) -> Mistake {
+fn error_at_byte(text: &str, byte: usize, message: String) -> Error {
     let before = text.get(..byte).unwrap_or(text);
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().map_or(0, |last| last.chars().count()) + 1;
-    Mistake { line, column, sentence }
+    Error { line, column, message }
 }
 
 fn steps(path: &serde_path_to_error::Path) -> Path {
@@ -185,6 +185,6 @@
         .collect()
 }
 
-fn unknown_field(sentence: &str) -> Option<&str> {
-    sentence.strip_prefix("unknown field `")?.split('`').next()
+fn unknown_field(message: &str) -> Option<&str> {
+    message.strip_prefix("unknown field `")?.split('`').next()
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! }"#;
 //! let config = briarwinch::config::Config::parse(text)?;
 //! assert_eq!(config.services.len(), 1);
-//! # Ok::<(), briarwinch::jsonc::Mistake>(())
+//! # Ok::<(), briarwinch::jsonc::Error>(())
 //! ```
 
 pub mod admin;
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, derive_more::Display, derive_more::From)]
 pub enum Problem {
     #[display("{_0}")]
-    Mistake(jsonc::Mistake),
+    Mistake(jsonc::Error),
     #[from(ignore)]
     #[display("{_0}")]
     Raced(String),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -197,10 +197,10 @@
 ///
 /// # Errors
 /// The first mistake, with line and column.
-pub fn parse<T: Checked>(text: &str) -> Result<T, jsonc::Mistake> {
+pub fn parse<T: Checked>(text: &str) -> Result<T, jsonc::Error> {
     let document = jsonc::Document::parse(text)?;
     let settings: T = document.read()?;
-    settings.check().map_err(|(path, sentence)| document.mistake(&path, sentence))?;
+    settings.check().map_err(|(path, sentence)| document.error_at(&path, sentence))?;
     Ok(settings)
 }
 
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Refused {
     pub version: u64,
-    pub mistake: jsonc::Mistake,
+    pub mistake: jsonc::Error,
 }
 
 /// What changed when something was taken in.
--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -123,7 +123,7 @@
 fn deep_nesting_is_refused() {
     for open in ["[", "{\"a\":"] {
         let mistake = Config::parse(&open.repeat(100_000)).expect_err("too deep");
-        assert!(mistake.sentence.contains("nested deeper"), "{mistake}");
+        assert!(mistake.message.contains("nested deeper"), "{mistake}");
     }
     // The same for a caller's body, whose parser has a bound of its own.
     assert!(openai::parse("[".repeat(100_000).as_bytes()).is_err());
