--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use briarwinch::answer::{Answer, Reader, Top};
+use briarwinch::answer::{Answer, AnswerHead, Reader};
 use briarwinch::queue::{ClassRule, Job, Queue};
 use briarwinch::seal::{self, Secret};
 use briarwinch::spread::Shared;
@@ -327,7 +327,7 @@
         (0..1_000)
             .map(|slot| {
                 let mut answer = Answer::default();
-                answer.top = Some(Top { status: 200, headers: Vec::new() });
+                answer.head = Some(AnswerHead { status: 200, headers: Vec::new() });
                 answer.push(&[b'x'; 32 << 10]);
                 (answer, Reader::new(wire::StreamId { slot, generation: 1 }, 0, 0))
             })
--- a/src/answer.rs
+++ b/src/answer.rs
@@ -6,20 +6,20 @@
 use crate::{error, wire};
 
 /// Least that is let go of at once: each time moves all that is kept.
-const LET_GO_BYTES: usize = 16 << 10;
+const MIN_DISCARD_BYTES: usize = 16 << 10;
 
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// All of it is here.
-    Whole { tokens: u32, queue_ms: u32 },
+    Complete { tokens: u32, queue_ms: u32 },
     /// There is no more, for this reason.
     Refused(error::Refusal),
 }
 
 /// Status and headers of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Top {
+pub struct AnswerHead {
     pub status: u16,
     pub headers: Vec<wire::Header>,
 }
@@ -27,7 +27,7 @@
 /// An answer so far.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
-    pub top: Option<Top>,
+    pub head: Option<AnswerHead>,
     body: Vec<u8>,
     /// Where `body` begins in the whole body, after a head that was let go.
     begin: u64,
@@ -55,7 +55,7 @@
 
     /// Whether the body can be given from this offset on.
     #[must_use]
-    pub fn reaches_back_to(&self, offset: u64) -> bool {
+    pub fn is_available_from(&self, offset: u64) -> bool {
         offset >= self.begin && offset <= self.length()
     }
 
@@ -70,9 +70,9 @@
     }
 
     /// Lets go of the body before an offset, once that is worth moving the rest.
-    pub fn let_go(&mut self, offset: u64) {
+    pub fn discard_before(&mut self, offset: u64) {
         let count = offset.saturating_sub(self.begin).min(self.body.len() as u64) as usize;
-        if count < LET_GO_BYTES {
+        if count < MIN_DISCARD_BYTES {
             return;
         }
         self.body.drain(..count);
@@ -86,7 +86,7 @@
     pub stream: wire::StreamId,
     pub offset: u64,
     pub credit_bytes: u64,
-    has_top: bool,
+    has_head: bool,
     has_ending: bool,
 }
 
@@ -96,7 +96,7 @@
 impl Reader {
     #[must_use]
     pub fn new(stream: wire::StreamId, offset: u64, credit_bytes: u64) -> Self {
-        Self { stream, offset, credit_bytes, has_top: offset > 0, has_ending: false }
+        Self { stream, offset, credit_bytes, has_head: offset > 0, has_ending: false }
     }
 
     /// The reader has all there will ever be.
@@ -111,12 +111,12 @@
             return None;
         }
         let stream = self.stream;
-        if let (false, Some(top)) = (self.has_top, &answer.top) {
-            self.has_top = true;
+        if let (false, Some(head)) = (self.has_head, &answer.head) {
+            self.has_head = true;
             return Some(wire::ToEntry::Head(wire::Head {
                 stream,
-                status: top.status,
-                headers: top.headers.clone(),
+                status: head.status,
+                headers: head.headers.clone(),
                 replayed: answer.replayed,
             }));
         }
@@ -134,7 +134,7 @@
         let ending = answer.ending.as_ref()?;
         self.has_ending = true;
         Some(match ending {
-            Ending::Whole { tokens, queue_ms } => wire::ToEntry::End(wire::End {
+            Ending::Complete { tokens, queue_ms } => wire::ToEntry::End(wire::End {
                 stream,
                 length: answer.length(),
                 tokens: *tokens,
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -92,7 +92,7 @@
             // Nobody can come back for it but the entry that reads it, and that one only for what
             // a lost link swallowed, which its credit bounds.
             let keep_from = subscriber.reader.offset.saturating_sub(KEPT_BEHIND_BYTES);
-            self.answer.borrow_mut().let_go(keep_from);
+            self.answer.borrow_mut().discard_before(keep_from);
         }
     }
 
@@ -157,7 +157,7 @@
             let refusal = error::Refusal::not_run(error::Kind::IdempotencyMismatch);
             return send_refusal(outbox, stream, refusal);
         }
-        if !run.answer.borrow().reaches_back_to(submit.from_offset) {
+        if !run.answer.borrow().is_available_from(submit.from_offset) {
             let refusal = error::Refusal::unknown(error::Kind::LinkLost);
             return send_refusal(outbox, stream, refusal.detail("The answer is no longer held."));
         }
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -31,7 +31,7 @@
     let output_tokens = u64::from(counter.tokens());
     account(&side, &run, &outcome, started, begin_ms, output_tokens);
     let ending = match outcome {
-        Ok(()) => answer::Ending::Whole { tokens: counter.tokens(), queue_ms: queue_ms as u32 },
+        Ok(()) => answer::Ending::Complete { tokens: counter.tokens(), queue_ms: queue_ms as u32 },
         Err(refusal) => answer::Ending::Refused(refusal),
     };
     side.finish(&run, ending);
@@ -146,14 +146,14 @@
     };
     let mut answer = run.answer.borrow_mut();
     answer.replayed = true;
-    answer.top = Some(answer::Top { status: saved.status, headers: saved.headers });
+    answer.head = Some(answer::AnswerHead { status: saved.status, headers: saved.headers });
     answer.push(&body);
     Ok(())
 }
 
 fn saved(answer: &answer::Answer) -> claims::SavedAnswer {
     let (status, headers) =
-        answer.top.as_ref().map_or((502, Vec::new()), |top| (top.status, top.headers.clone()));
+        answer.head.as_ref().map_or((502, Vec::new()), |top| (top.status, top.headers.clone()));
     let short = answer.held_bytes() <= claims::MAX_ANSWER_BYTES;
     let body = short.then(|| answer.piece(0, claims::MAX_ANSWER_BYTES).to_vec());
     claims::SavedAnswer { status, headers, body }
@@ -293,8 +293,10 @@
     let sent_ms = side.now_ms();
     let response = send(side, run, context).await?;
     let is_stream = is_event_stream(&response);
-    run.answer.borrow_mut().top =
-        Some(answer::Top { status: response.status().as_u16(), headers: headers(&response) });
+    run.answer.borrow_mut().head = Some(answer::AnswerHead {
+        status: response.status().as_u16(),
+        headers: headers(&response),
+    });
     if run.submit.repeatable {
         run.flush();
     }
--- a/tests/properties/answers.rs
+++ b/tests/properties/answers.rs
@@ -2,7 +2,7 @@
 //! retries.
 
 use briarwinch::admission::{Budgets, part_per_s};
-use briarwinch::answer::{Answer, Ending, Reader, Top};
+use briarwinch::answer::{Answer, AnswerHead, Ending, Reader};
 use briarwinch::retry::{Budget, most_retries};
 use briarwinch::sse::Counter;
 use briarwinch::wire::{StreamId, ToEntry};
@@ -43,7 +43,7 @@
     #[test]
     fn reader_gets_every_byte_once(acts in acts()) {
         let mut answer = Answer::default();
-        answer.top = Some(Top { status: 200, headers: Vec::new() });
+        answer.head = Some(AnswerHead { status: 200, headers: Vec::new() });
         let mut sent: Vec<u8> = Vec::new();
         let mut received: Vec<u8> = Vec::new();
         let stream = StreamId { slot: 0, generation: 0 };
@@ -70,18 +70,18 @@
                 Act::Read => read(&mut reader, &answer, &mut received),
                 Act::Return => {
                     let offset = received.len() as u64;
-                    prop_assert!(answer.reaches_back_to(offset));
+                    prop_assert!(answer.is_available_from(offset));
                     reader = Reader::new(stream, offset, 500);
                     allowed = offset + 500;
                 }
                 Act::LetGo { behind } => {
-                    answer.let_go((received.len() as u64).saturating_sub(behind));
+                    answer.discard_before((received.len() as u64).saturating_sub(behind));
                 }
             }
             prop_assert!(received.len() as u64 <= allowed);
             prop_assert_eq!(&sent[..received.len()], &received[..]);
         }
-        answer.ending = Some(Ending::Whole { tokens: 0, queue_ms: 0 });
+        answer.ending = Some(Ending::Complete { tokens: 0, queue_ms: 0 });
         reader.credit_bytes = u64::MAX / 2;
         read(&mut reader, &answer, &mut received);
         prop_assert!(reader.is_done());
