--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -1,6 +1,6 @@
 //! The scenarios: two deployments of today's size, each under what can happen to it.
 
-use briarwinch::config::ClassText;
+use briarwinch::config::ClassSpec;
 
 /// Policies compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: &'static str,
-    pub text: ClassText,
+    pub text: ClassSpec,
     /// Part of all requests.
     pub share: f64,
     pub prompt_tokens: u32,
@@ -113,7 +113,7 @@
     protected: bool,
     shape: (f64, u32, f64),
 ) -> Class {
-    let text = ClassText {
+    let text = ClassSpec {
         latency_target_ms,
         priority,
         protected,
--- a/src/config.rs
+++ b/src/config.rs
@@ -25,10 +25,10 @@
 /// The text as written, before it is checked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Text {
-    pub classes: BTreeMap<CompactString, ClassText>,
-    pub services: BTreeMap<CompactString, ServiceText>,
-    pub accounts: BTreeMap<CompactString, AccountText>,
+pub struct ConfigSpec {
+    pub classes: BTreeMap<CompactString, ClassSpec>,
+    pub services: BTreeMap<CompactString, ServiceSpec>,
+    pub accounts: BTreeMap<CompactString, AccountSpec>,
     #[serde(default)]
     pub billing: Billing,
 }
@@ -36,7 +36,7 @@
 /// A class of requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassText {
+pub struct ClassSpec {
     /// Time to the first token, counted from the request's arrival.
     pub latency_target_ms: u32,
     /// Higher goes first.
@@ -51,7 +51,7 @@
     pub max_wait_ms: Option<u32>,
 }
 
-impl ClassText {
+impl ClassSpec {
     /// How long a request of this class waits for a slot at most; `None`: as long as its caller.
     ///
     /// By default as long as it can still be in time: slots given to what is late anyway are taken
@@ -72,7 +72,7 @@
 /// A service that endpoints run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServiceText {
+pub struct ServiceSpec {
     pub kind: ServiceKind,
     /// Model names that callers use; for model engines only.
     #[serde(default)]
@@ -120,7 +120,7 @@
 /// A client account.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AccountText {
+pub struct AccountSpec {
     /// Weight against other accounts of the same class.
     #[serde(default = "default_share")]
     pub share: u32,
@@ -180,14 +180,14 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: CompactString,
-    pub text: ClassText,
+    pub spec: ClassSpec,
 }
 
 /// A checked service.
 #[derive(Clone, Debug)]
 pub struct Service {
     pub name: CompactString,
-    pub text: ServiceText,
+    pub spec: ServiceSpec,
     pub default_class: ClassKey,
     /// Everything it needs, directly or through others.
     pub needs: Vec<ServiceKey>,
@@ -227,8 +227,8 @@
             return Err(jsonc::Error { line: 1, column: 1, message });
         }
         let document = jsonc::Document::parse(text)?;
-        let text: Text = document.read()?;
-        check::build(text).map_err(|(path, sentence)| document.error_at(&path, sentence))
+        let spec: ConfigSpec = document.read()?;
+        check::build(spec).map_err(|(path, sentence)| document.error_at(&path, sentence))
     }
 
     #[must_use]
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -5,8 +5,8 @@
 use compact_str::CompactString;
 
 use super::{
-    Account, AccountKey, Billing, Class, ClassKey, Config, MAX_GUARANTEED_PPM, Service, ServiceKey,
-    ServiceKind, Text,
+    Account, AccountKey, Billing, Class, ClassKey, Config, ConfigSpec, MAX_GUARANTEED_PPM, Service,
+    ServiceKey, ServiceKind,
 };
 use crate::jsonc;
 
@@ -22,11 +22,11 @@
     names.enumerate().map(|(at, name)| (name.clone(), key(at))).collect()
 }
 
-fn check_names(text: &Text) -> Result<(), Broken> {
+fn check_names(spec: &ConfigSpec) -> Result<(), Broken> {
     let groups = [
-        ("classes", text.classes.keys().collect::<Vec<_>>()),
-        ("services", text.services.keys().collect()),
-        ("accounts", text.accounts.keys().collect()),
+        ("classes", spec.classes.keys().collect::<Vec<_>>()),
+        ("services", spec.services.keys().collect()),
+        ("accounts", spec.accounts.keys().collect()),
     ];
     for (group, names) in groups {
         if names.len() >= usize::from(u16::MAX) {
@@ -46,12 +46,12 @@
     Ok(())
 }
 
-fn check_classes(text: &Text) -> Result<(), Broken> {
-    if text.classes.is_empty() {
+fn check_classes(spec: &ConfigSpec) -> Result<(), Broken> {
+    if spec.classes.is_empty() {
         return Err((crate::path!["classes"], "at least one class is needed".to_owned()));
     }
     let mut guaranteed_ppm = 0_u64;
-    for (name, class) in &text.classes {
+    for (name, class) in &spec.classes {
         let at = |field: &str| crate::path!["classes", name.as_str(), field];
         if class.latency_target_ms == 0 {
             return Err((at("latency_target_ms"), "the latency target is zero".to_owned()));
@@ -72,11 +72,11 @@
 }
 
 fn check_models(
-    text: &Text,
+    spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
 ) -> Result<HashMap<CompactString, ServiceKey>, Broken> {
     let mut models = HashMap::new();
-    for (name, service) in &text.services {
+    for (name, service) in &spec.services {
         let at = crate::path!["services", name.as_str(), "models"];
         let is_engine = service.kind == ServiceKind::Engine;
         if is_engine == service.models.is_empty() {
@@ -99,10 +99,10 @@
 
 /// For each service all it needs, in the text's order; refuses unknown names and cycles.
 fn check_dependencies(
-    text: &Text,
+    spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
 ) -> Result<Vec<Vec<ServiceKey>>, Broken> {
-    for (name, service) in &text.services {
+    for (name, service) in &spec.services {
         for (place, needed) in service.depends_on.iter().enumerate() {
             if !names.contains_key(needed) {
                 let path = crate::path!["services", name.as_str(), "depends_on", place];
@@ -110,13 +110,13 @@
             }
         }
     }
-    text.services
+    spec.services
         .keys()
         .map(|name| {
             let mut needs = Vec::new();
             let mut open = vec![name];
             while let Some(current) = open.pop() {
-                for needed in &text.services[current].depends_on {
+                for needed in &spec.services[current].depends_on {
                     if needed == name {
                         let path = crate::path!["services", name.as_str(), "depends_on"];
                         return Err((path, format!("`{name}` depends on itself through a cycle")));
@@ -133,36 +133,36 @@
 }
 
 fn check_services(
-    text: &Text,
+    spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
     needs: Vec<Vec<ServiceKey>>,
 ) -> Result<Vec<Service>, Broken> {
     let mut services = Vec::new();
-    for ((name, service), needs) in text.services.iter().zip(needs) {
+    for ((name, service), needs) in spec.services.iter().zip(needs) {
         let at = |field: &str| crate::path!["services", name.as_str(), field];
         let default_class = find_class(classes, &service.default_class, at("default_class"))?;
         if service.slots == 0 {
             return Err((at("slots"), "an endpoint needs at least one slot".to_owned()));
         }
-        if (service.max_queue as usize) < text.classes.len() {
+        if (service.max_queue as usize) < spec.classes.len() {
             let sentence = "the queue needs at least one place for each class";
             return Err((at("max_queue"), sentence.to_owned()));
         }
         if service.endpoints.least > service.endpoints.most {
             return Err((at("endpoints"), "`least` is greater than `most`".to_owned()));
         }
-        let text = service.clone();
-        services.push(Service { name: name.clone(), text, default_class, needs });
+        let spec = service.clone();
+        services.push(Service { name: name.clone(), spec, default_class, needs });
     }
     Ok(services)
 }
 
 fn check_accounts(
-    text: &Text,
+    spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
 ) -> Result<Vec<Account>, Broken> {
     let mut accounts = Vec::new();
-    for (name, account) in &text.accounts {
+    for (name, account) in &spec.accounts {
         let at = |field: &str| crate::path!["accounts", name.as_str(), field];
         if account.share == 0 {
             return Err((at("share"), "the share is zero".to_owned()));
@@ -202,23 +202,23 @@
 }
 
 /// Checks a text and makes its model.
-pub(super) fn build(text: Text) -> Result<Config, Broken> {
-    check_names(&text)?;
-    check_classes(&text)?;
-    let class_names = index(text.classes.keys(), |at| ClassKey(at as u16));
-    let service_names = index(text.services.keys(), |at| ServiceKey(at as u16));
-    let account_names = index(text.accounts.keys(), |at| AccountKey(at as u32));
-    let model_names = check_models(&text, &service_names)?;
-    let needs = check_dependencies(&text, &service_names)?;
-    let services = check_services(&text, &class_names, needs)?;
-    let accounts = check_accounts(&text, &class_names)?;
-    check_billing(text.billing)?;
-    let classes = text.classes.into_iter().map(|(name, text)| Class { name, text }).collect();
+pub(super) fn build(spec: ConfigSpec) -> Result<Config, Broken> {
+    check_names(&spec)?;
+    check_classes(&spec)?;
+    let class_names = index(spec.classes.keys(), |at| ClassKey(at as u16));
+    let service_names = index(spec.services.keys(), |at| ServiceKey(at as u16));
+    let account_names = index(spec.accounts.keys(), |at| AccountKey(at as u32));
+    let model_names = check_models(&spec, &service_names)?;
+    let needs = check_dependencies(&spec, &service_names)?;
+    let services = check_services(&spec, &class_names, needs)?;
+    let accounts = check_accounts(&spec, &class_names)?;
+    check_billing(spec.billing)?;
+    let classes = spec.classes.into_iter().map(|(name, spec)| Class { name, spec }).collect();
     Ok(Config {
         classes,
         services,
         accounts,
-        billing: text.billing,
+        billing: spec.billing,
         class_names,
         service_names,
         account_names,
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -142,7 +142,7 @@
     }
     let config = &snapshot.config.as_ref()?.model;
     let data = config.services.iter().flat_map(|service| {
-        service.text.models.iter().map(|model| openai::Model {
+        service.spec.models.iter().map(|model| openai::Model {
             id: model,
             object: "model",
             owned_by: &service.name,
@@ -213,7 +213,7 @@
     let class = config.class_at(class_key);
     story.class = class.name.clone();
     let is_safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
-    let repeatable = service.text.repeatable || is_safe;
+    let repeatable = service.spec.repeatable || is_safe;
     let idempotency = idempotency(worker, http, &account.name, &service.name)?;
     if !repeatable && idempotency.is_none() {
         return Err(refuse(error::Kind::IdempotencyKeyRequired));
@@ -231,7 +231,7 @@
         key_revision: key.revision,
         arrived_ms,
         deadline_at_ms: arrived_ms + u64::from(deadline_ms),
-        target_at_ms: arrived_ms + u64::from(class.text.latency_target_ms),
+        target_at_ms: arrived_ms + u64::from(class.spec.latency_target_ms),
         tokens_per_s,
         prompt_tokens: wanted.prompt_tokens,
         max_tokens: wanted.max_tokens,
@@ -304,7 +304,7 @@
     let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
     let service = config
         .service(name)
-        .filter(|key| config.service_at(*key).text.kind == config::ServiceKind::Plain)
+        .filter(|key| config.service_at(*key).spec.kind == config::ServiceKind::Plain)
         .ok_or_else(|| refuse(error::Kind::UnknownService).detail(format!("(`{name}`)")))?;
     let query = http.uri().query().map_or(String::new(), |query| format!("?{query}"));
     Ok(Wanted {
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -48,9 +48,9 @@
             .classes
             .iter()
             .map(|class| Self {
-                priority: class.text.priority,
-                protected: class.text.protected,
-                guaranteed_ppm: class.text.guaranteed_ppm,
+                priority: class.spec.priority,
+                protected: class.spec.protected,
+                guaranteed_ppm: class.spec.guaranteed_ppm,
             })
             .collect()
     }
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -89,7 +89,7 @@
         };
         self.note_starts(&list, control.hub.now_ms());
         for service in &config.services {
-            if service.text.endpoints.most == 0 {
+            if service.spec.endpoints.most == 0 {
                 continue;
             }
             let loads = loads(control, zone, &service.name).await;
@@ -137,14 +137,14 @@
             starting: count(platform::Standing::Starting),
             running: offers().map(|offer| offer.running).sum(),
             waiting: offers().map(|offer| offer.waiting).sum(),
-            slots: service.text.slots,
+            slots: service.spec.slots,
         };
         self.note = format!(
             "{} live, {} starting, {} running, {} waiting",
             seen.live, seen.starting, seen.running, seen.waiting
         );
         let planner = self.planners.entry(service.name.clone()).or_default();
-        planner.plan(seen, service.text.endpoints, control.hub.now_ms())
+        planner.plan(seen, service.spec.endpoints, control.hub.now_ms())
     }
 
     /// An endpoint that has been drained for a stop; has one drained if there is none yet.
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -115,7 +115,7 @@
         }
         self.version.set(in_force.version);
         let service = in_force.model.service(&self.service);
-        let text = service.map(|key| &in_force.model.service_at(key).text);
+        let text = service.map(|key| &in_force.model.service_at(key).spec);
         self.slots.set(text.map_or(1, |text| text.slots as usize));
         let places = text.map_or(0, |text| text.max_queue as usize);
         let rules = queue::ClassRule::of(&in_force.model);
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -202,7 +202,7 @@
         let now_ms = self.now_ms();
         let share = config.share_of(&submit.account);
         let expected_ms = endpoint.first_token_ms(class, &submit.account, share, now_ms);
-        let longest_wait_ms = config.class_at(class).text.longest_wait_ms();
+        let longest_wait_ms = config.class_at(class).spec.longest_wait_ms();
         if let Some(longest_ms) = longest_wait_ms.filter(|most| u64::from(expected_ms) > *most) {
             let refusal = refuse(error::Kind::TooLate);
             return Err(
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -13,7 +13,7 @@
     for name in ["sidang-rekam.jsonc", "pullikkal.jsonc"] {
         let text = std::fs::read_to_string(folder.join(name)).expect("an example");
         let config = Config::parse(&text).unwrap_or_else(|mistake| panic!("{name}: {mistake}"));
-        assert!(config.classes.iter().any(|class| class.text.protected));
+        assert!(config.classes.iter().any(|class| class.spec.protected));
     }
 }
 
