--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -280,7 +280,7 @@
     let table = || {
         let mut table = keys::Table::default();
         for number in 0..KEYS {
-            table.take(key(number));
+            table.merge(key(number));
         }
         table
     };
@@ -290,9 +290,9 @@
         black_box(full.clone());
     });
     print("keys: copy a table of 6800 (a change while traffic reads it)", "ns", copy);
-    let made = keys::make("account").expect("random bytes");
+    let made = keys::generate("account").expect("random bytes");
     let mut one = keys::Table::default();
-    one.take(keys::Versioned { revision: 1, record: made.record });
+    one.merge(keys::Versioned { revision: 1, record: made.record });
     let check = time_ns(2_000, || {
         for _ in 0..2_000 {
             black_box(one.check(&made.text).is_ok());
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -39,7 +39,7 @@
 
 /// A key just made: the text for the caller, the record for the store.
 #[derive(Debug)]
-pub struct Made {
+pub struct NewKey {
     pub text: String,
     pub record: Record,
 }
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// When the system gives no random bytes.
-pub fn make(account: &str) -> Result<Made, getrandom::Error> {
+pub fn generate(account: &str) -> Result<NewKey, getrandom::Error> {
     let mut id = [0_u8; 6];
     let mut secret = [0_u8; SECRET_BYTES];
     getrandom::fill(&mut id)?;
@@ -61,7 +61,7 @@
         digest: digest(&text),
         withdrawn: false,
     };
-    Ok(Made { text, record })
+    Ok(NewKey { text, record })
 }
 
 /// Digest of a key's text.
@@ -82,7 +82,7 @@
 
 /// The id within a key's text.
 #[must_use]
-pub fn id_of(text: &str) -> Option<&str> {
+pub fn parse_id(text: &str) -> Option<&str> {
     if text.len() > MAX_KEY_BYTES {
         return None;
     }
@@ -115,7 +115,7 @@
     }
 
     /// Takes in a record unless a newer one is known; says whether it was taken.
-    pub fn take(&mut self, new: Versioned) -> bool {
+    pub fn merge(&mut self, new: Versioned) -> bool {
         // A slow peer or an old read can bring back a grant after its withdrawal. Only a greater
         // revision replaces a record, so the store's last word on a key stands.
         let known = self.records.get(&new.record.id).map_or(0, |known| known.revision);
@@ -153,7 +153,7 @@
     /// `InvalidKey` or `KeyWithdrawn`; either way nothing ran.
     pub fn check(&self, text: &str) -> Result<&Versioned, error::Refusal> {
         let invalid = || error::Refusal::not_run(error::Kind::InvalidKey);
-        let known = id_of(text).and_then(|id| self.records.get(id)).ok_or_else(invalid)?;
+        let known = parse_id(text).and_then(|id| self.records.get(id)).ok_or_else(invalid)?;
         let equal: bool = known.record.digest.ct_eq(&digest(text)).into();
         if !equal {
             return Err(invalid());
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -209,7 +209,7 @@
 }
 
 async fn grant(line: &cli::Operator, account: &str) -> Result<String, Problem> {
-    let made = keys::make(account)
+    let made = keys::generate(account)
         .map_err(|error| Problem::Other(anyhow::anyhow!("no random bytes: {error}")))?;
     let platform = open(line).await?;
     let object_key = format!("{}{}", store::KEYS_PREFIX, made.record.id);
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -166,7 +166,7 @@
             changed.config = self.take_config(text);
         }
         for key in news.keys {
-            changed.keys |= Arc::make_mut(&mut self.keys).take(key);
+            changed.keys |= Arc::make_mut(&mut self.keys).merge(key);
         }
         if let Some(roster) = news.roster {
             changed.roster = self.take_roster(roster);
@@ -195,7 +195,7 @@
                     continue;
                 };
                 let versioned = keys::Versioned { revision: object.version, record };
-                changed.keys |= Arc::make_mut(&mut self.keys).take(versioned);
+                changed.keys |= Arc::make_mut(&mut self.keys).merge(versioned);
             }
         }
         changed
--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -49,7 +49,7 @@
         let _ = openai::parse(text.as_bytes());
         let _ = trace::Context::parse(&text);
         let _ = keys::Table::default().check(&text);
-        let _ = keys::id_of(&text);
+        let _ = keys::parse_id(&text);
     }
 
     #[test]
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -156,7 +156,7 @@
     fn grant_and_withdrawal_end_as_the_store_has_them(order in Just((1..40_u64).collect::<Vec<_>>()).prop_shuffle()) {
         let mut table = Table::default();
         for revision in order {
-            table.take(key(revision));
+            table.merge(key(revision));
         }
         for id in 0..7 {
             let last = (1..40_u64).rev().find(|revision| revision % 7 == id).expect("each occurs");
