--- a/src/admin.rs
+++ b/src/admin.rs
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 struct State {
     hub: Arc<hub::Hub>,
-    ring: Option<Arc<explain::Ring>>,
+    ring: Option<Arc<explain::RequestHistory>>,
     metrics: PrometheusHandle,
     id: CompactString,
     zone: CompactString,
@@ -68,7 +68,7 @@
 pub fn spawn(
     settings: &settings::Daemon,
     hub: Arc<hub::Hub>,
-    ring: Option<Arc<explain::Ring>>,
+    ring: Option<Arc<explain::RequestHistory>>,
     metrics: PrometheusHandle,
     listener: std::net::TcpListener,
 ) -> anyhow::Result<()> {
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -106,7 +106,7 @@
     let id = CompactString::from(trace::request_id());
     let parent = text_header(&http, "traceparent").and_then(trace::Context::parse);
     let span = trace::Span::start("entry", parent.unwrap_or_else(trace::Context::root));
-    let mut story = explain::Story {
+    let mut story = explain::RequestRecord {
         request: id.clone(),
         trace_id: format!("{:032x}", span.context.trace),
         ..Default::default()
@@ -177,7 +177,7 @@
     payload: web::types::Payload,
     id: CompactString,
     trace: trace::Context,
-    story: &mut explain::Story,
+    story: &mut explain::RequestRecord,
 ) -> Result<(Request, Active), error::Refusal> {
     let arrived_ms = worker.now_ms();
     let snapshot = worker.snapshot();
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -46,7 +46,7 @@
     log: slog::Logger,
     secret: seal::Secret,
     spans: trace::Sink,
-    ring: Arc<explain::Ring>,
+    ring: Arc<explain::RequestHistory>,
     active: AtomicUsize,
 }
 
@@ -75,7 +75,7 @@
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
     let metrics = metric::install()?;
-    let ring = Arc::new(explain::Ring::default());
+    let ring = Arc::new(explain::RequestHistory::default());
     let identity = control::Identity {
         role: membership::Role::Entry,
         work_addr: None,
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -25,7 +25,7 @@
     worker: &Rc<Worker>,
     request: intake::Request,
     active: intake::Active,
-    mut story: explain::Story,
+    mut story: explain::RequestRecord,
     span: trace::Span,
 ) -> HttpResponse {
     let begin_ms = request.arrived_ms;
@@ -47,7 +47,7 @@
 async fn open(
     worker: &Rc<Worker>,
     request: &intake::Request,
-    story: &mut explain::Story,
+    story: &mut explain::RequestRecord,
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     check_dependencies(worker, request)?;
     let mut tried: HashSet<placement::Target> = HashSet::new();
@@ -241,10 +241,10 @@
     offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, place)| place)
 }
 
-fn asked_line(place: &membership::Place, offers: &[asks::Answered]) -> explain::Asked {
+fn asked_line(place: &membership::Place, offers: &[asks::Answered]) -> explain::Candidate {
     let target = placement::Target::of(place);
     let offer = offers.iter().find(|answered| answered.target == target);
-    explain::Asked {
+    explain::Candidate {
         endpoint: place.id.clone(),
         zone: place.zone.clone(),
         first_token_ms: offer.map(|answered| answered.offer.first_token_ms),
--- a/src/entry/respond.rs
+++ b/src/entry/respond.rs
@@ -25,7 +25,7 @@
 pub(super) struct Parts {
     pub(super) request: intake::Request,
     pub(super) active: intake::Active,
-    pub(super) story: explain::Story,
+    pub(super) story: explain::RequestRecord,
     pub(super) span: trace::Span,
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-fn count_outcome(worker: &Worker, story: &explain::Story) {
+fn count_outcome(worker: &Worker, story: &explain::RequestRecord) {
     metrics::counter!("briarwinch_requests_total",
         "class" => story.class.to_string(), "outcome" => story.outcome.to_string())
     .increment(1);
@@ -212,7 +212,7 @@
 pub(super) fn refuse(
     worker: &Worker,
     refusal: &error::Refusal,
-    mut story: explain::Story,
+    mut story: explain::RequestRecord,
     begin_ms: u64,
 ) -> HttpResponse {
     story.status = refusal.kind.answer().status;
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Requests remembered; about half a kilobyte each.
-const REMEMBERED: usize = 4096;
+const MAX_RECORDS: usize = 4096;
 
 /// One offer that was weighed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Candidate {
     pub endpoint: CompactString,
     pub zone: CompactString,
     /// `None`: no answer came in time.
@@ -22,14 +22,14 @@
 /// One try to get a request served.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Attempt {
-    pub asked: Vec<Asked>,
+    pub asked: Vec<Candidate>,
     pub chosen: Option<CompactString>,
     pub outcome: CompactString,
 }
 
 /// What happened to one request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Story {
+pub struct RequestRecord {
     pub request: CompactString,
     pub trace_id: String,
     pub account: CompactString,
@@ -50,24 +50,24 @@
 
 /// The last requests, oldest dropped first.
 #[derive(Debug, Default)]
-pub struct Ring {
-    stories: Mutex<VecDeque<Story>>,
+pub struct RequestHistory {
+    records: Mutex<VecDeque<RequestRecord>>,
 }
 
-impl Ring {
-    pub fn push(&self, story: Story) {
-        let Ok(mut stories) = self.stories.lock() else {
+impl RequestHistory {
+    pub fn push(&self, record: RequestRecord) {
+        let Ok(mut records) = self.records.lock() else {
             return;
         };
-        if stories.len() == REMEMBERED {
-            stories.pop_front();
+        if records.len() == MAX_RECORDS {
+            records.pop_front();
         }
-        stories.push_back(story);
+        records.push_back(record);
     }
 
     #[must_use]
-    pub fn find(&self, request: &str) -> Option<Story> {
-        let stories = self.stories.lock().ok()?;
-        stories.iter().rev().find(|story| story.request == request).cloned()
+    pub fn find(&self, request: &str) -> Option<RequestRecord> {
+        let records = self.records.lock().ok()?;
+        records.iter().rev().find(|record| record.request == request).cloned()
     }
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -322,7 +322,7 @@
     for entry in entries {
         let base = format!("http://{}", entry.admin_addr);
         // An entry that has gone cannot tell; another may have carried the request.
-        if let Ok(Some(story)) = fetch::<explain::Story>(&base, &path).await {
+        if let Ok(Some(story)) = fetch::<explain::RequestRecord>(&base, &path).await {
             return Ok(print(line.output, &story, || tables::story_text(&story, &entry.id)));
         }
     }
--- a/src/operator/tables.rs
+++ b/src/operator/tables.rs
@@ -59,7 +59,7 @@
     text
 }
 
-pub(super) fn story_text(story: &explain::Story, entry: &str) -> String {
+pub(super) fn story_text(story: &explain::RequestRecord, entry: &str) -> String {
     let mut text = format!(
         "request {} by entry {entry}\n  account {}, key {}, class {}, service {}, configuration {}\n  trace {}",
         story.request,
