--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -72,7 +72,7 @@
         contender: &lease::Contender,
     ) -> election::Tick {
         let now_ms = control.now_ms();
-        let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
+        let Some(fence) = contender.epoch_with_remaining(now_ms, CALL_MS) else {
             return election::Tick::Done;
         };
         self.since_ms.get_or_insert(now_ms);
--- a/src/gateway/duties/scaling.rs
+++ b/src/gateway/duties/scaling.rs
@@ -17,7 +17,7 @@
 use crate::gateway::duties::election;
 use crate::gateway::policy::{load, prefill};
 use crate::gateway::{directory, route};
-use crate::scaling::{Plan, Planner, Seen};
+use crate::scaling::{Observation, Plan, Planner};
 use crate::store::Condition;
 use crate::{config, lease};
 
@@ -99,7 +99,7 @@
         if now_ms < self.next_ms || table.services().iter().all(|one| one.scaling.is_none()) {
             return election::Tick::Done;
         }
-        let Some(fence) = contender.epoch_for(now_ms, CALL_MS) else {
+        let Some(fence) = contender.epoch_with_remaining(now_ms, CALL_MS) else {
             return election::Tick::Done;
         };
         self.next_ms = now_ms + PLAN_INTERVAL_MS;
@@ -206,7 +206,7 @@
                 let work = endpoints.iter().map(|one| load_table.work_at(one.key, now_ms));
                 let busy: f64 = work.map(|work| busy_slots(work, slots, &prefill_model)).sum();
                 let demand =
-                    Seen { live: before, starting: 0, running: busy as u32, waiting, slots };
+                    Observation { live: before, starting: 0, running: busy as u32, waiting, slots };
                 let planner = self
                     .planners
                     .entry(target.clone())
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -24,8 +24,8 @@
 const COUNTS_ENTRIES: usize = 100;
 /// Number of entries that store the counts of all: the holder of the duties and its successor.
 const COUNT_RECEIVERS: usize = 2;
-/// How long information on a lease that was received from its holder is forwarded.
-const LEASE_FORWARD_MS: u64 = 5_000;
+/// How long a notice about a term that was received from its holder is forwarded.
+const NOTICE_FORWARD_MS: u64 = 5_000;
 
 /// Sends messages to the other entries until the process ends.
 pub(in crate::gateway) async fn run_sender<P: Platform>(control: Rc<Control<P>>) {
@@ -65,10 +65,10 @@
 }
 
 fn local_state<P>(control: &Control<P>, now_ms: u64) -> LocalState {
-    let own = control.own_lease.get();
+    let own = control.own_term_notice.get();
     let forwarded =
-        control.relayed_lease.get().filter(|(_, at_ms)| now_ms < at_ms + LEASE_FORWARD_MS);
-    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(lease, _)| lease.version);
+        control.relayed_term_notice.get().filter(|(_, at_ms)| now_ms < at_ms + NOTICE_FORWARD_MS);
+    let newest = [own, forwarded].into_iter().flatten().max_by_key(|(notice, _)| notice.version);
     let (limits, limits_stamp) = {
         let limits = control.shared.limits();
         (limits.updates(now_ms), limits.newest_stamp())
@@ -79,9 +79,9 @@
         config_version: control.config_version(),
         directory_revision: control.directory.borrow().revision(),
         has_store: control.is_store_available(),
-        holds_duties: own.is_some_and(|(lease, _)| lease.left_ms > 0 && !lease.is_over),
+        holds_duties: own.is_some_and(|(notice, _)| notice.left_ms > 0 && !notice.is_over),
         is_stopping: control.shared.is_draining(),
-        lease: newest.map(|(lease, at_ms)| lease.after(now_ms - at_ms)),
+        term_notice: newest.map(|(notice, at_ms)| notice.after(now_ms - at_ms)),
         admission_ages: control.shared.admission.ages(now_ms),
         evacuations: control.evacuations.borrow().snapshot(now_ms),
         limits,
@@ -145,7 +145,7 @@
 
 fn send_all<P>(control: &Control<P>, outgoing: Vec<Outgoing>) {
     for one in outgoing {
-        let bytes = match seal::datagram(&control.secret, &one.message) {
+        let bytes = match seal::seal_datagram(&control.secret, &one.message) {
             Ok(bytes) => bytes,
             Err(error) => {
                 slog::warn!(control.log, "message to peers not sent"; "reason" => error.to_string(),
@@ -221,11 +221,11 @@
     let shared = &control.shared;
     shared.admission.merge_ages(state.admission_ages, now_ms);
     control.update_evacuations("peer", |evacuations| evacuations.adopt(&state.evacuations, now_ms));
-    if let Some(lease) = state.lease.filter(|lease| lease.boot != shared.boot) {
-        let newer = |(known, _): (lease::Told, u64)| known.version <= lease.version;
-        if control.relayed_lease.get().is_none_or(newer) {
-            control.relayed_lease.set(Some((lease, now_ms)));
-            control.received_lease.set(Some((lease, now_ms)));
+    if let Some(notice) = state.term_notice.filter(|notice| notice.boot != shared.boot) {
+        let newer = |(known, _): (lease::TermNotice, u64)| known.version <= notice.version;
+        if control.relayed_term_notice.get().is_none_or(newer) {
+            control.relayed_term_notice.set(Some((notice, now_ms)));
+            control.received_term_notice.set(Some((notice, now_ms)));
         }
     }
     let local = local_state(control, now_ms);
