--- a/src/error.rs
+++ b/src/error.rs
@@ -1,23 +1,23 @@
-//! The closed list of error kinds, and the one table from a kind to the answer a caller gets.
+//! The closed set of error kinds and the table that maps each kind to the response sent to the caller.
 //!
-//! Whatever goes wrong on a request's path ends as a [`Refusal`]. A refusal states whether the
-//! request ran: `no` is said only by a process that knows the request never left for an endpoint.
+//! Every failure on a request's path ends as a [`Refusal`]. A refusal states whether the request ran:
+//! only a process that knows that the request was never sent to an endpoint reports `no`.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Whether a refused request ran at an endpoint.
+/// Whether a refused request was run by an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 pub enum Ran {
-    /// It never left for an endpoint.
+    /// The request was never sent to an endpoint.
     #[display("no")]
     No,
-    /// It may have run, in part or whole.
+    /// The request may have run, in part or completely.
     #[display("unknown")]
     Unknown,
 }
 
-/// Every kind of refusal.
+/// The kinds of refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
     InvalidRequest,
@@ -50,18 +50,18 @@
     Internal,
 }
 
-/// What a kind of refusal means to a caller.
+/// The response that a caller gets for a kind of refusal.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// The `code` of the error body, in OpenAI's form.
+    /// The `code` of the error body, in OpenAI's format.
     pub code: &'static str,
     /// The `type` of the error body.
     pub category: &'static str,
-    /// One sentence for a person.
+    /// Human-readable description, one sentence.
     pub message: &'static str,
-    /// Whether another endpoint may be tried when nothing ran.
+    /// Whether the request may be retried at another endpoint if it did not run.
     pub other_endpoint: bool,
 }
 
@@ -81,7 +81,7 @@
 const SERVER: &str = "server_error";
 
 impl Kind {
-    /// The table from kind to answer.
+    /// Maps the kind to the response for the caller.
     #[must_use]
     pub const fn answer(self) -> Answer {
         match self {
@@ -183,28 +183,28 @@
     }
 }
 
-/// A request's final answer when it gets none from an endpoint.
+/// The final outcome of a request that gets no answer from an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, derive_more::Display)]
 #[display("{} (ran: {ran}) {detail}", kind.answer().code)]
 pub struct Refusal {
     pub kind: Kind,
     pub ran: Ran,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after_ms: Option<u32>,
-    /// What a person needs beyond the kind's sentence; may be empty.
+    /// Details appended to the kind's message; may be empty.
     pub detail: CompactString,
 }
 
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// A refusal of a request that never left for an endpoint.
+    /// Creates the refusal of a request that was never sent to an endpoint.
     #[must_use]
     pub fn not_run(kind: Kind) -> Self {
         Self { kind, ran: Ran::No, retry_after_ms: None, detail: CompactString::default() }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates the refusal of a request that may have run.
     #[must_use]
     pub fn unknown(kind: Kind) -> Self {
         Self { ran: Ran::Unknown, ..Self::not_run(kind) }
@@ -222,13 +222,13 @@
         self
     }
 
-    /// Whether the router itself may send the request to another endpoint.
+    /// Whether the router may retry the request at another endpoint.
     #[must_use]
     pub fn may_try_other(&self, repeatable: bool) -> bool {
         self.kind.answer().other_endpoint && (self.ran == Ran::No || repeatable)
     }
 
-    /// The error body in OpenAI's form.
+    /// Builds the error body in OpenAI's format.
     #[must_use]
     pub fn body(&self) -> serde_json::Value {
         let answer = self.kind.answer();
