--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
-//! The operators' text: services, classes, client accounts. Text goes in, a checked model comes
-//! out, with small keys into its arenas.
+//! The configuration written by operators: services, classes and client accounts.
 //!
-//! A text that is not wholly right is refused, with line, column and a sentence; a daemon that is
-//! handed such a text keeps the last good one.
+//! Parses the text into a validated model that is addressed by small integer keys. A text with any
+//! error is rejected with line, column and message; a daemon that receives such a text keeps the last
+//! valid configuration.
 
 mod check;
 
@@ -13,16 +13,16 @@
 
 use crate::jsonc;
 
-/// Parts per million in a whole.
+/// Parts per million that make up the whole.
 pub const PPM: u64 = 1_000_000;
-/// Largest text; the platform holds values up to a megabyte.
+/// Largest configuration text; the platform stores values of up to 1 MB.
 pub const MAX_TEXT_BYTES: usize = 1_000_000;
-/// The guaranteed shares together may take at most this much, so that priority decides the rest.
+/// Upper bound on the sum of the guaranteed shares, so that priority decides about the rest.
 pub const MAX_GUARANTEED_PPM: u64 = 500_000;
-/// How many latency targets long an unprotected class waits, if its text says nothing.
+/// Default maximum wait of an unprotected class, as a multiple of its latency target.
 const DEFAULT_WAIT_TARGETS: u64 = 1;
 
-/// The text as written, before it is checked.
+/// The configuration as written, before validation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigSpec {
@@ -33,35 +33,37 @@
     pub billing: Billing,
 }
 
-/// A class of requests.
+/// A request class as written.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Time to the first token, counted from the request's arrival.
+    /// Target time to first token, from the arrival of the request.
     pub latency_target_ms: u32,
-    /// Higher goes first.
+    /// Classes with a higher priority are served first.
     pub priority: u8,
-    /// A protected class is never shed or preempted for a lower one.
+    /// A protected class is never shed or preempted in favour of a lower class.
     #[serde(default)]
     pub protected: bool,
-    /// Least share of an endpoint's service while requests of this class wait.
+    /// Minimum share of an endpoint's capacity while requests of this class are queued.
     #[serde(default = "default_guaranteed_ppm")]
     pub guaranteed_ppm: u64,
-    /// Longest wait for a place at the endpoint; then the request is refused, not run.
+    /// Longest time in an endpoint's queue; after it the request is refused without having run.
     pub max_wait_ms: Option<u32>,
 }
 
 impl ClassSpec {
-    /// How long a request of this class waits for a slot at most; `None`: as long as its caller.
+    /// Returns the longest wait of a request of this class for a slot; `None` if only the request's own
+    /// deadline bounds the wait.
     ///
-    /// By default as long as it can still be in time: slots given to what is late anyway are taken
-    /// from what could be in time, and under a burst everything would be late.
+    /// By default, a request waits only as long as it can still meet its latency target. Slots given to
+    /// late requests would be taken from requests that can still be in time, and in a burst every
+    /// request would be late.
     #[must_use]
     pub fn longest_wait_ms(&self) -> Option<u64> {
         let default_ms = u64::from(self.latency_target_ms) * DEFAULT_WAIT_TARGETS;
         match (self.max_wait_ms, self.protected) {
-            // A protected class is never given up on for being late: while lower classes still get
-            // their share, that would be shedding it for them.
+            // Requests of a protected class are not dropped for being late: while lower classes still
+            // get their share, that would shed the protected class in their favour.
             (_, true) => None,
             (Some(most_ms), false) => Some(u64::from(most_ms)),
             (None, false) => Some(default_ms),
@@ -69,28 +71,29 @@
     }
 }
 
-/// A service that endpoints run.
+/// A service that endpoints run, as written.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
     pub kind: ServiceKind,
-    /// Model names that callers use; for model engines only.
+    /// Names of the models that the service runs; for model engines only.
     #[serde(default)]
     pub models: Vec<CompactString>,
-    /// Services that must be up for this one to answer.
+    /// Services that must be available for this one to answer.
     #[serde(default)]
     pub depends_on: Vec<CompactString>,
     pub default_class: CompactString,
-    /// Requests that run at an endpoint at the same time.
+    /// Maximum number of concurrently running requests at an endpoint.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Requests that wait at an endpoint.
+    /// Maximum number of queued requests at an endpoint.
     #[serde(default = "default_max_queue")]
     pub max_queue: u32,
-    /// Whether a call may be sent twice. Calls that may not need an idempotency key.
+    /// Whether a call may be sent twice. Calls to a service that is not repeatable require an idempotency
+    /// key.
     #[serde(default = "default_true")]
     pub repeatable: bool,
-    /// Whether the endpoints refuse orders with an old fencing number themselves.
+    /// Whether the endpoints themselves reject orders with an old fencing token.
     #[serde(default)]
     pub checks_fence: bool,
     /// Bounds on the number of endpoints in an availability zone.
@@ -103,11 +106,11 @@
 #[serde(deny_unknown_fields)]
 pub struct EndpointBounds {
     pub least: u32,
-    /// Zero: the system does not order endpoints of this service.
+    /// Zero disables scaling: the scaler orders no endpoints of this service.
     pub most: u32,
 }
 
-/// What runs behind a service.
+/// The kind of server behind a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -117,27 +120,27 @@
     Plain,
 }
 
-/// A client account.
+/// A client account as written.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountSpec {
-    /// Weight against other accounts of the same class.
+    /// Weight relative to other accounts in the same class.
     #[serde(default = "default_share")]
     pub share: u32,
     pub default_class: Option<CompactString>,
-    /// Requests of this account at one entry at the same time.
+    /// Maximum number of concurrent requests of this account at one entry.
     #[serde(default = "default_max_concurrent")]
     pub max_concurrent: u32,
-    /// Prompt and output tokens a second, over all entries; left out: no limit.
+    /// Limit on prompt and output tokens per second, over all entries; unlimited if absent.
     pub tokens_per_s: Option<u32>,
 }
 
-/// When usage is billed.
+/// Billing windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Billing {
     pub window_s: u64,
-    /// How long after its end a window is sealed.
+    /// Delay between the end of a window and its sealing.
     pub grace_s: u64,
 }
 
@@ -166,34 +169,34 @@
     4096
 }
 
-/// A class in the model.
+/// Index of a class in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClassKey(pub u16);
-/// A service in the model.
+/// Index of a service in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServiceKey(pub u16);
-/// A client account in the model.
+/// Index of a client account in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AccountKey(pub u32);
 
-/// A checked class.
+/// A validated class.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: CompactString,
     pub spec: ClassSpec,
 }
 
-/// A checked service.
+/// A validated service.
 #[derive(Clone, Debug)]
 pub struct Service {
     pub name: CompactString,
     pub spec: ServiceSpec,
     pub default_class: ClassKey,
-    /// Everything it needs, directly or through others.
+    /// All services that this one depends on, directly or transitively.
     pub needs: Vec<ServiceKey>,
 }
 
-/// A checked client account.
+/// A validated client account.
 #[derive(Clone, Debug)]
 pub struct Account {
     pub name: CompactString,
@@ -203,7 +206,7 @@
     pub tokens_per_s: Option<u32>,
 }
 
-/// The checked model.
+/// The validated configuration.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub classes: Vec<Class>,
@@ -217,18 +220,18 @@
 }
 
 impl Config {
-    /// Reads and checks an operators' text.
+    /// Parses and validates a configuration text.
     ///
     /// # Errors
-    /// The first mistake, with line and column.
+    /// Returns the first error, with line and column.
     pub fn parse(text: &str) -> Result<Self, jsonc::Error> {
         if text.len() > MAX_TEXT_BYTES {
-            let message = format!("the text is longer than {MAX_TEXT_BYTES} bytes");
+            let message = format!("the configuration is longer than {MAX_TEXT_BYTES} bytes");
             return Err(jsonc::Error { line: 1, column: 1, message });
         }
         let document = jsonc::Document::parse(text)?;
         let spec: ConfigSpec = document.read()?;
-        check::build(spec).map_err(|(path, sentence)| document.error_at(&path, sentence))
+        check::build(spec).map_err(|(path, message)| document.error_at(&path, message))
     }
 
     #[must_use]
@@ -246,13 +249,13 @@
         self.account_names.get(name).copied()
     }
 
-    /// The weight of an account; one if it is not in the text.
+    /// Returns the weight of an account; 1 for an account that is not configured.
     #[must_use]
     pub fn share_of(&self, account: &str) -> u32 {
         self.account(account).map_or(1, |key| self.account_at(key).share)
     }
 
-    /// The service that runs a model.
+    /// Returns the service that runs a model.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<ServiceKey> {
         self.model_names.get(name).copied()
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! The rules of the operators' text, each with the path and the sentence of its mistake.
+//! Validation of the configuration. Each rule reports the path of the offending value and a message.
 
 use std::collections::HashMap;
 
@@ -12,8 +12,8 @@
 
 const MAX_NAME_CHARS: usize = 64;
 
-/// The first rule broken: where, and a sentence.
-pub(super) type Broken = (jsonc::Path, String);
+/// The first rule that is violated: path of the value and message.
+pub(super) type Violation = (jsonc::Path, String);
 
 fn index<'a, K>(
     names: impl Iterator<Item = &'a CompactString>,
@@ -22,7 +22,7 @@
     names.enumerate().map(|(at, name)| (name.clone(), key(at))).collect()
 }
 
-fn check_names(spec: &ConfigSpec) -> Result<(), Broken> {
+fn check_names(spec: &ConfigSpec) -> Result<(), Violation> {
     let groups = [
         ("classes", spec.classes.keys().collect::<Vec<_>>()),
         ("services", spec.services.keys().collect()),
@@ -33,20 +33,22 @@
             return Err((crate::path![group], format!("too many {group}")));
         }
         for name in names {
-            let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-            if name.is_empty() || name.chars().count() > MAX_NAME_CHARS || !name.chars().all(plain)
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+            if name.is_empty()
+                || name.chars().count() > MAX_NAME_CHARS
+                || !name.chars().all(is_allowed)
             {
-                let sentence = format!(
-                    "`{name}` is no name: 1 to {MAX_NAME_CHARS} letters, digits, `-`, `_` or `.`"
+                let message = format!(
+                    "`{name}` is not a valid name: use 1 to {MAX_NAME_CHARS} letters, digits, `-`, `_` or `.`"
                 );
-                return Err((crate::path![group, name.as_str()], sentence));
+                return Err((crate::path![group, name.as_str()], message));
             }
         }
     }
     Ok(())
 }
 
-fn check_classes(spec: &ConfigSpec) -> Result<(), Broken> {
+fn check_classes(spec: &ConfigSpec) -> Result<(), Violation> {
     if spec.classes.is_empty() {
         return Err((crate::path!["classes"], "at least one class is needed".to_owned()));
     }
@@ -57,15 +59,15 @@
             return Err((at("latency_target_ms"), "the latency target is zero".to_owned()));
         }
         if class.guaranteed_ppm == 0 {
-            let sentence = "a class without a guaranteed share could wait forever";
-            return Err((at("guaranteed_ppm"), sentence.to_owned()));
+            let message = "a class without a guaranteed share could wait forever";
+            return Err((at("guaranteed_ppm"), message.to_owned()));
         }
         guaranteed_ppm = guaranteed_ppm.saturating_add(class.guaranteed_ppm);
         if guaranteed_ppm > MAX_GUARANTEED_PPM {
-            let sentence = format!(
-                "the guaranteed shares come to {guaranteed_ppm} ppm, over {MAX_GUARANTEED_PPM}"
+            let message = format!(
+                "the guaranteed shares add up to {guaranteed_ppm} ppm, over the limit of {MAX_GUARANTEED_PPM}"
             );
-            return Err((at("guaranteed_ppm"), sentence));
+            return Err((at("guaranteed_ppm"), message));
         }
     }
     Ok(())
@@ -74,39 +76,43 @@
 fn check_models(
     spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
-) -> Result<HashMap<CompactString, ServiceKey>, Broken> {
+) -> Result<HashMap<CompactString, ServiceKey>, Violation> {
     let mut models = HashMap::new();
     for (name, service) in &spec.services {
         let at = crate::path!["services", name.as_str(), "models"];
         let is_engine = service.kind == ServiceKind::Engine;
         if is_engine == service.models.is_empty() {
-            let sentence = if is_engine {
-                format!("the engine service `{name}` names no model")
+            let message = if is_engine {
+                format!("the engine service `{name}` lists no models")
             } else {
-                format!("the plain service `{name}` has no models")
+                format!("the plain service `{name}` must not list models")
             };
-            return Err((at, sentence));
+            return Err((at, message));
         }
         for (place, model) in service.models.iter().enumerate() {
             if models.insert(model.clone(), names[name]).is_some() {
                 let path = crate::path!["services", name.as_str(), "models", place];
-                return Err((path, format!("the model `{model}` stands twice")));
+                return Err((path, format!("the model `{model}` is listed twice")));
             }
         }
     }
     Ok(models)
 }
 
-/// For each service all it needs, in the text's order; refuses unknown names and cycles.
+/// Returns the transitive dependencies of each service, in the order of the services; rejects unknown
+/// names and cycles.
 fn check_dependencies(
     spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
-) -> Result<Vec<Vec<ServiceKey>>, Broken> {
+) -> Result<Vec<Vec<ServiceKey>>, Violation> {
     for (name, service) in &spec.services {
         for (place, needed) in service.depends_on.iter().enumerate() {
             if !names.contains_key(needed) {
                 let path = crate::path!["services", name.as_str(), "depends_on", place];
-                return Err((path, format!("`{needed}` is no service of this text")));
+                return Err((
+                    path,
+                    format!("the service `{needed}` is not defined in this configuration"),
+                ));
             }
         }
     }
@@ -114,16 +120,19 @@
         .keys()
         .map(|name| {
             let mut needs = Vec::new();
-            let mut open = vec![name];
-            while let Some(current) = open.pop() {
+            let mut pending = vec![name];
+            while let Some(current) = pending.pop() {
                 for needed in &spec.services[current].depends_on {
                     if needed == name {
                         let path = crate::path!["services", name.as_str(), "depends_on"];
-                        return Err((path, format!("`{name}` depends on itself through a cycle")));
+                        return Err((
+                            path,
+                            format!("the service `{name}` depends on itself through a cycle"),
+                        ));
                     }
                     if !needs.contains(&names[needed]) {
                         needs.push(names[needed]);
-                        open.push(needed);
+                        pending.push(needed);
                     }
                 }
             }
@@ -136,7 +145,7 @@
     spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
     needs: Vec<Vec<ServiceKey>>,
-) -> Result<Vec<Service>, Broken> {
+) -> Result<Vec<Service>, Violation> {
     let mut services = Vec::new();
     for ((name, service), needs) in spec.services.iter().zip(needs) {
         let at = |field: &str| crate::path!["services", name.as_str(), field];
@@ -145,8 +154,8 @@
             return Err((at("slots"), "an endpoint needs at least one slot".to_owned()));
         }
         if (service.max_queue as usize) < spec.classes.len() {
-            let sentence = "the queue needs at least one place for each class";
-            return Err((at("max_queue"), sentence.to_owned()));
+            let message = "the queue needs at least one place for each class";
+            return Err((at("max_queue"), message.to_owned()));
         }
         if service.endpoints.least > service.endpoints.most {
             return Err((at("endpoints"), "`least` is greater than `most`".to_owned()));
@@ -160,7 +169,7 @@
 fn check_accounts(
     spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
-) -> Result<Vec<Account>, Broken> {
+) -> Result<Vec<Account>, Violation> {
     let mut accounts = Vec::new();
     for (name, account) in &spec.accounts {
         let at = |field: &str| crate::path!["accounts", name.as_str(), field];
@@ -168,7 +177,10 @@
             return Err((at("share"), "the share is zero".to_owned()));
         }
         if account.tokens_per_s == Some(0) {
-            return Err((at("tokens_per_s"), "the account could never send anything".to_owned()));
+            return Err((
+                at("tokens_per_s"),
+                "a rate of zero tokens per second would refuse every request".to_owned(),
+            ));
         }
         let default_class = account
             .default_class
@@ -186,7 +198,7 @@
     Ok(accounts)
 }
 
-fn check_billing(billing: Billing) -> Result<(), Broken> {
+fn check_billing(billing: Billing) -> Result<(), Violation> {
     if billing.window_s == 0 {
         return Err((crate::path!["billing", "window_s"], "the window is zero".to_owned()));
     }
@@ -197,12 +209,15 @@
     classes: &HashMap<CompactString, ClassKey>,
     name: &CompactString,
     path: jsonc::Path,
-) -> Result<ClassKey, Broken> {
-    classes.get(name).copied().ok_or_else(|| (path, format!("`{name}` is no class of this text")))
+) -> Result<ClassKey, Violation> {
+    classes
+        .get(name)
+        .copied()
+        .ok_or_else(|| (path, format!("the class `{name}` is not defined in this configuration")))
 }
 
-/// Checks a text and makes its model.
-pub(super) fn build(spec: ConfigSpec) -> Result<Config, Broken> {
+/// Validates a configuration and builds its indexed model.
+pub(super) fn build(spec: ConfigSpec) -> Result<Config, Violation> {
     check_names(&spec)?;
     check_classes(&spec)?;
     let class_names = index(spec.classes.keys(), |at| ClassKey(at as u16));
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -136,7 +136,7 @@
                 for property in &object.properties {
                     if !seen.insert(property.name.as_str().to_owned()) {
                         let message =
-                            format!("the field `{}` stands twice", property.name.as_str());
+                            format!("the field `{}` is given twice", property.name.as_str());
                         return Err(error_at_byte(self.text, property.range.start, message));
                     }
                     self.check_twice(&property.value)?;
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -1,4 +1,5 @@
-//! The operators' text and the settings: what is right is taken, what is wrong is told where.
+//! Parsing of configurations and settings: valid texts are accepted, errors are reported with their
+//! position.
 
 use std::path::Path;
 
@@ -8,16 +9,16 @@
 use serde_json::json;
 
 #[test]
-fn examples_have_no_mistakes() {
+fn examples_are_valid() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples");
     for name in ["sidang-rekam.jsonc", "pullikkal.jsonc"] {
         let text = std::fs::read_to_string(folder.join(name)).expect("an example");
-        let config = Config::parse(&text).unwrap_or_else(|mistake| panic!("{name}: {mistake}"));
+        let config = Config::parse(&text).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert!(config.classes.iter().any(|class| class.spec.protected));
     }
 }
 
-/// The least right text, with one thing changed in it.
+/// Returns a minimal valid configuration with `from` replaced by `to`.
 fn changed(from: &str, to: &str) -> String {
     let text = r#"{
   // comments are allowed
@@ -34,12 +35,12 @@
 }
 
 fn check(text: &str, expected: &Expect) {
-    let mistake = Config::parse(text).expect_err("a mistake");
-    expected.assert_eq(&mistake.to_string());
+    let error = Config::parse(text).expect_err("an invalid configuration");
+    expected.assert_eq(&error.to_string());
 }
 
 #[test]
-fn mistakes_have_a_place_and_a_sentence() {
+fn errors_report_position_and_message() {
     let cases = [
         (
             changed("\"priority\": 9", "\"priority\": 900"),
@@ -62,38 +63,40 @@
         ),
         (
             changed("\"priority\": 9", "\"priority\": 9, \"guaranteed_ppm\": 600000"),
-            expect!["line 3, column 67: the guaranteed shares come to 600000 ppm, over 500000"],
+            expect![
+                "line 3, column 67: the guaranteed shares add up to 600000 ppm, over the limit of 500000"
+            ],
         ),
         (
             changed("[\"ledger\"]", "[\"ledge\"]"),
-            expect!["line 5, column 92: `ledge` is no service of this text"],
+            expect!["line 5, column 92: the service `ledge` is not defined in this configuration"],
         ),
         (
             changed("\"depends_on\": []", "\"depends_on\": [\"engine\"]"),
-            expect!["line 5, column 77: `engine` depends on itself through a cycle"],
+            expect!["line 5, column 77: the service `engine` depends on itself through a cycle"],
         ),
         (
             changed("\"default_class\": \"slow\"", "\"default_class\": \"slowly\""),
-            expect!["line 6, column 34: `slowly` is no class of this text"],
+            expect!["line 6, column 34: the class `slowly` is not defined in this configuration"],
         ),
         (
             changed("[\"m\"]", "[\"m\", \"m\"]"),
-            expect!["line 5, column 51: the model `m` stands twice"],
+            expect!["line 5, column 51: the model `m` is listed twice"],
         ),
         (
             changed("[\"m\"]", "[]"),
-            expect!["line 5, column 35: the engine service `engine` names no model"],
+            expect!["line 5, column 35: the engine service `engine` lists no models"],
         ),
         (
             changed("\"court\"", "\"the court\""),
             expect![
-                "line 8, column 17: `the court` is no name: 1 to 64 letters, digits, `-`, `_` or `.`"
+                "line 8, column 17: `the court` is not a valid name: use 1 to 64 letters, digits, `-`, `_` or `.`"
             ],
         ),
         (changed("\"share\": 2", "\"share\": 0"), expect!["line 8, column 28: the share is zero"]),
         (
             changed("\"share\": 2", "\"share\": 2, \"share\": 3"),
-            expect!["line 8, column 40: the field `share` stands twice"],
+            expect!["line 8, column 40: the field `share` is given twice"],
         ),
         (
             changed("\"accounts\"", "accounts"),
@@ -109,7 +112,7 @@
     }
 }
 
-fn entry(change: impl Fn(&mut serde_json::Value)) -> String {
+fn entry_settings(change: impl Fn(&mut serde_json::Value)) -> String {
     let mut settings = json!({
         "daemon": {
             "id": "entry-1", "region": "jawa", "zone": "jkt",
@@ -123,17 +126,17 @@
 }
 
 #[test]
-fn settings_are_checked() {
-    assert!(settings::parse::<settings::Entry>(&entry(|_| {})).is_ok());
+fn invalid_settings_are_rejected_with_a_position() {
+    assert!(settings::parse::<settings::Entry>(&entry_settings(|_| {})).is_ok());
     let wrong = [
-        entry(|settings| settings["daemon"]["fleet_secret"] = "short".into()),
-        entry(|settings| settings["daemon"]["platform_url"] = "https://platform".into()),
-        entry(|settings| settings["daemon"]["peer_addr"] = "localhost".into()),
-        entry(|settings| settings["workers"] = 0.into()),
-        entry(|settings| settings["listen_adr"] = "127.0.0.1:0".into()),
+        entry_settings(|settings| settings["daemon"]["fleet_secret"] = "short".into()),
+        entry_settings(|settings| settings["daemon"]["platform_url"] = "https://platform".into()),
+        entry_settings(|settings| settings["daemon"]["peer_addr"] = "localhost".into()),
+        entry_settings(|settings| settings["workers"] = 0.into()),
+        entry_settings(|settings| settings["listen_adr"] = "127.0.0.1:0".into()),
     ];
     for text in wrong {
-        let mistake = settings::parse::<settings::Entry>(&text).expect_err("a mistake");
-        assert!(mistake.column > 1, "{mistake}");
+        let error = settings::parse::<settings::Entry>(&text).expect_err("invalid settings");
+        assert!(error.column > 1, "{error}");
     }
 }
