--- a/src/billing.rs
+++ b/src/billing.rs
@@ -1,8 +1,8 @@
-//! The billing duty: seals each window once and reports what was sealed.
+//! The billing duty: seals each window once and reports the sealed figures.
 //!
-//! Each daemon writes its own sheet to the store; the holder of the duty adds them up. The seal is a
-//! conditional create, so of two holders that both believe they are in charge one creates it and
-//! the other finds it; both can only report the same figures.
+//! Each daemon writes its own usage sheet to the store; the holder of the duty adds the sheets up. A
+//! window is sealed by a conditional create. If two daemons both believe that they hold the duty, one
+//! creates the object and the other reads it, so both can only report the same figures.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::store::{Condition, Failure, ObjectStore};
 use crate::{control, hub, lease, usage};
 
-/// Least pause between two writes of a sheet.
+/// Minimum interval between two writes of a sheet.
 const SHEET_MS: u64 = 3_000;
-/// Sheet writes a second that all daemons together may cause; the pause stretches with the fleet.
+/// Maximum rate of sheet writes by all daemons together; the interval grows with the fleet.
 const SHEETS_PER_S: u64 = 25;
-/// What must be left of the term to report: the call's own limit and some more.
+/// Minimum remaining lease term for a report: the timeout of the call plus a margin.
 const REPORT_MS: u64 = 2_600;
-/// How long after the last sealed window the next one is looked at again.
-const LOOK_MS: u64 = 500;
+/// Interval between two checks whether the next window is due.
+const CHECK_INTERVAL_MS: u64 = 500;
 
-/// How far the billing of a region is.
+/// Billing progress of a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// The last window sealed and reported.
+    /// The last window that was sealed and reported.
     pub reported: usage::Window,
 }
 
@@ -41,7 +41,7 @@
     format!("usage/{region}/progress")
 }
 
-/// Writes this daemon's sheet whenever it has changed.
+/// Writes this daemon's usage sheet to the store whenever it has changed.
 pub async fn write_sheet(control: Rc<control::Control>) {
     let daemon = &control.settings;
     let prefix = sheets_prefix(&daemon.region);
@@ -66,8 +66,8 @@
                 version = new;
                 written = sheet;
             }
-            // Only this daemon writes this key, so a conflict is an earlier write of its own whose
-            // answer was lost: the version is read and the next round writes on top of it.
+            // Only this daemon writes this key, so a conflict comes from an earlier write of its own
+            // whose answer was lost. The version is read, and the next round overwrites it.
             Err(Failure::Conflict | Failure::NoAnswer) => {
                 if let Ok(found) = control.platform.get(&key).await {
                     version = found.map_or(0, |object| object.version);
@@ -78,22 +78,22 @@
     }
 }
 
-/// What a holder of the billing duty remembers between ticks; all of it can be read again.
+/// State of the billing duty's holder between ticks; all of it can be read again from the store.
 #[derive(Debug, Default)]
 pub struct Worker {
-    next_look_ms: u64,
+    next_check_ms: u64,
     progress: Option<(u64, Progress)>,
     note: String,
 }
 
 impl Worker {
-    /// What the duty is at.
+    /// Describes the progress of the duty, for the status page.
     #[must_use]
     pub fn note(&self) -> &str {
         &self.note
     }
 
-    /// Seals and reports the next window, if its time has come.
+    /// Seals and reports the next window if it is due.
     pub async fn tick(
         &mut self,
         control: &control::Control,
@@ -101,10 +101,10 @@
         region: &str,
     ) {
         let now_ms = control.hub.now_ms();
-        if now_ms < self.next_look_ms {
+        if now_ms < self.next_check_ms {
             return;
         }
-        self.next_look_ms = now_ms + LOOK_MS;
+        self.next_check_ms = now_ms + CHECK_INTERVAL_MS;
         if let Err(failure) = self.advance(control, lease, region).await {
             self.progress = None;
             self.note = format!("waits: {failure}");
@@ -134,7 +134,8 @@
             return Ok(());
         }
         let sealed = seal(control, region, window).await?;
-        // A holder frozen here and woken after its term must not report: the next one does.
+        // A holder that was suspended here and resumes after its term must not report: its successor
+        // does.
         if lease.epoch_with_remaining(control.hub.now_ms(), REPORT_MS).is_none() {
             return Ok(());
         }
@@ -162,15 +163,15 @@
     if let Some(known) = known {
         return Ok(known);
     }
-    // The first holder ever begins with the window before the current one, and writes that down:
-    // a later holder must not begin anywhere else.
+    // The first holder begins with the window before the current one and stores that, so that later
+    // holders continue from the same window.
     let first = Progress { reported: usage::Window(current.saturating_sub(2)) };
     let value = serde_json::to_string(&first).unwrap_or_default();
     let version = control.platform.put(&progress_key(region), value, Condition::Absent).await?;
     Ok((version, first))
 }
 
-/// The sealed figures of a window; seals it if nobody has.
+/// Returns the sealed figures of a window; seals the window if it is not sealed yet.
 pub async fn seal(
     control: &control::Control,
     region: &str,
@@ -179,10 +180,10 @@
     seal_in(&control.platform, region, window, rand::random()).await
 }
 
-/// The sealed figures of a window in this store; seals it if nobody has.
+/// Returns the sealed figures of a window in the given store; seals the window if it is not sealed yet.
 ///
 /// # Errors
-/// When the store is down or gives no answer; nothing is then known of the seal.
+/// When the store is down or does not answer; the window may or may not be sealed then.
 pub async fn seal_in(
     store: &impl ObjectStore,
     region: &str,
@@ -207,7 +208,8 @@
     let value = serde_json::to_string(&sealed).unwrap_or_default();
     match store.put(&key, value, Condition::Absent).await {
         Ok(_) => Ok(sealed),
-        // Another holder sealed it, or our own write's answer was lost: what stands is the truth.
+        // Another holder sealed the window, or the answer to our own write was lost: the stored object
+        // is authoritative.
         Err(Failure::Conflict | Failure::NoAnswer) => {
             read_sealed(store, &key).await?.ok_or(Failure::NoAnswer)
         }
