--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -1,8 +1,9 @@
-//! The duty of ordering endpoints in one availability zone.
+//! The scaling duty: starts and stops endpoints in one availability zone.
 //!
-//! The holder asks the zone's endpoints for their load, plans (`scaling`), has an endpoint drained
-//! by its side before it stops it, and orders by the platform's endpoint interface: intent first,
-//! then the term checked, then the order with the fencing number, one at a time.
+//! The holder queries the load of the zone's endpoints, plans (`scaling`) and sends orders through the
+//! platform's endpoint interface. An endpoint is drained by its side before it is stopped. Orders are
+//! sent one at a time: the holder writes the intent, checks its lease term again and then sends the
+//! order with the fencing token.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -15,66 +16,70 @@
 use crate::store::{Condition, Failure, ObjectStore};
 use crate::{config, control, lease, membership, orders, platform, scaling, seal, wire};
 
-/// How often the zone is looked at.
-const LOOK_MS: u64 = 2_000;
-/// How long offers are gathered.
-const GATHER_MS: u64 = 60;
-/// What must be left of the term for an order: its own limit and some more.
+/// Interval between two evaluations of the zone.
+const EVALUATION_INTERVAL_MS: u64 = 2_000;
+/// How long load offers are collected.
+const COLLECT_MS: u64 = 60;
+/// Minimum remaining lease term for an order: the timeout of the call plus a margin.
 const ORDER_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
-/// A new holder orders nothing for as long as an order of the former one may be under way.
-const QUIET_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
+/// A new holder sends no orders while an order of its predecessor may still be in flight.
+const TAKEOVER_DELAY_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
 
-/// Object key of a zone's intent.
+/// Returns the object key of a zone's intent.
 #[must_use]
 pub fn intent_key(region: &str, zone: &str) -> String {
     format!("orders/{region}/{zone}")
 }
 
-/// What a holder remembers between ticks; all of it can be learnt again.
+/// State of the duty's holder between ticks; all of it can be rebuilt.
 #[derive(Debug, Default)]
 pub struct Worker {
     epoch: Option<lease::Epoch>,
-    next_look_ms: u64,
+    next_evaluation_ms: u64,
     planners: HashMap<CompactString, scaling::Planner>,
     live: HashSet<CompactString>,
     draining: Option<CompactString>,
     note: String,
 }
 
-/// One endpoint with its side's offer, if it answered.
+/// An endpoint with the offer of its side, if the side answered.
 struct Load {
     place: membership::Place,
     offer: Option<wire::Offer>,
 }
 
 impl Worker {
-    /// What the duty is at.
+    /// Describes the state of the duty, for the status page.
     #[must_use]
     pub fn note(&self) -> &str {
         &self.note
     }
 
-    /// Looks at the zone and orders, if its time has come.
+    /// Evaluates the zone if it is due, and sends an order if one is needed.
     pub async fn tick(&mut self, control: &control::Control, lease: &lease::Contender, zone: &str) {
         let now_ms = control.hub.now_ms();
         let Some(epoch) = lease.epoch(now_ms) else {
             return;
         };
         if self.epoch != Some(epoch) {
-            *self = Self { epoch: Some(epoch), next_look_ms: now_ms + QUIET_MS, ..Self::default() };
+            *self = Self {
+                epoch: Some(epoch),
+                next_evaluation_ms: now_ms + TAKEOVER_DELAY_MS,
+                ..Self::default()
+            };
         }
-        if now_ms < self.next_look_ms {
+        if now_ms < self.next_evaluation_ms {
             return;
         }
-        self.next_look_ms = now_ms + LOOK_MS;
-        if let Err(failure) = self.look(control, lease, zone).await {
-            // What the platform was told last is not known; it is asked what is before anything
-            // else is ordered.
+        self.next_evaluation_ms = now_ms + EVALUATION_INTERVAL_MS;
+        if let Err(failure) = self.evaluate(control, lease, zone).await {
+            // The outcome of the last call to the platform is unknown. The next evaluation lists the
+            // endpoints again before it sends another order.
             self.note = format!("waits: {failure}");
         }
     }
 
-    async fn look(
+    async fn evaluate(
         &mut self,
         control: &control::Control,
         lease: &lease::Contender,
@@ -87,12 +92,12 @@
         let Some(config) = config.map(|in_force| in_force.model) else {
             return Ok(());
         };
-        self.note_starts(&list, control.hub.now_ms());
+        self.record_starts(&list, control.hub.now_ms());
         for service in &config.services {
             if service.spec.endpoints.most == 0 {
                 continue;
             }
-            let loads = loads(control, zone, &service.name).await;
+            let loads = service_loads(control, zone, &service.name).await;
             let plan = self.plan(control, &list, service, &loads);
             let action = match plan {
                 scaling::Plan::Hold => continue,
@@ -102,19 +107,19 @@
                     None => continue,
                 },
             };
-            send(control, lease, zone, action).await?;
-            // One order a look: the next one starts from what is then.
+            send_order(control, lease, zone, action).await?;
+            // One order per evaluation: the next one starts from the state after this order.
             return Ok(());
         }
         Ok(())
     }
 
-    /// Takes the start times of endpoints that have come up since the last look.
-    fn note_starts(&mut self, list: &platform::EndpointList, now_ms: u64) {
-        let first = self.live.is_empty();
+    /// Records the start times of endpoints that have become live since the last evaluation.
+    fn record_starts(&mut self, list: &platform::EndpointList, now_ms: u64) {
+        let is_first = self.live.is_empty();
         for line in &list.endpoints {
             let is_live = line.standing == platform::Standing::Live;
-            if is_live && self.live.insert(line.id.clone()) && !first {
+            if is_live && self.live.insert(line.id.clone()) && !is_first {
                 self.planners.entry(line.service.clone()).or_default().endpoint_started(now_ms);
             }
         }
@@ -147,7 +152,8 @@
         planner.plan(seen, service.spec.endpoints, control.hub.now_ms())
     }
 
-    /// An endpoint that has been drained for a stop; has one drained if there is none yet.
+    /// Returns an endpoint that is drained and can be stopped; otherwise asks the least loaded one to
+    /// drain.
     async fn drained(
         &mut self,
         control: &control::Control,
@@ -164,15 +170,15 @@
             .map(|(load, _)| load.place.clone())?;
         self.draining = Some(place.id.clone());
         let epoch = lease.epoch(control.hub.now_ms())?;
-        let answers = loads_of(control, vec![place.clone()], Some(epoch)).await;
+        let answers = query_loads(control, vec![place.clone()], Some(epoch)).await;
         let offer = answers.first()?.offer?;
         let idle = offer.leaving && offer.running + offer.waiting == 0;
         idle.then_some(place.id)
     }
 }
 
-/// Orders, if the term allows.
-async fn send(
+/// Sends an order if the remaining lease term allows it.
+async fn send_order(
     control: &control::Control,
     lease: &lease::Contender,
     zone: &str,
@@ -191,8 +197,8 @@
     if !write_intent(&control.platform, region, zone, &order).await? {
         return Ok(());
     }
-    // The store may have taken long, or this process been frozen in the call: the term is checked
-    // once more, right before the order leaves.
+    // The store may have answered slowly, or this process may have been suspended during the call, so
+    // the term is checked again right before the order is sent.
     if lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
         return Ok(());
     }
@@ -202,10 +208,10 @@
     control.platform.order(zone, &order).await
 }
 
-/// Writes what is about to be ordered; `false` when a later holder has written already.
+/// Writes the intent of an order. Returns `false` if a holder with a newer epoch has already written.
 ///
 /// # Errors
-/// When the store does not answer; nothing may be ordered then.
+/// When the store does not answer; the order must not be sent then.
 pub async fn write_intent(
     store: &impl ObjectStore,
     region: &str,
@@ -230,15 +236,15 @@
     }
 }
 
-async fn loads(control: &control::Control, zone: &str, service: &str) -> Vec<Load> {
+async fn service_loads(control: &control::Control, zone: &str, service: &str) -> Vec<Load> {
     let snapshot = control.hub.snapshot.load_full();
     let all = snapshot.places(&control.settings.region, service);
     let places = all.iter().filter(|place| place.zone == zone).cloned().collect();
-    loads_of(control, places, None).await
+    query_loads(control, places, None).await
 }
 
-/// Asks endpoints for their load, or to drain for a stop ordered under an epoch.
-async fn loads_of(
+/// Asks endpoints for their load or, with an epoch, to drain for a stop ordered under that epoch.
+async fn query_loads(
     control: &control::Control,
     places: Vec<membership::Place>,
     drain: Option<lease::Epoch>,
@@ -261,7 +267,7 @@
             let _ = socket.try_send_to(&bytes, load.place.work_addr);
         }
     }
-    let gather = async {
+    let collect = async {
         let mut buffer = vec![0; seal::MAX_DATAGRAM_BYTES + 1];
         while loads.iter().any(|load| load.offer.is_none()) {
             let Ok((count, _)) = socket.recv_from(&mut buffer).await else {
@@ -275,6 +281,6 @@
             }
         }
     };
-    let _ = time::timeout(Duration::from_millis(GATHER_MS), gather).await;
+    let _ = time::timeout(Duration::from_millis(COLLECT_MS), collect).await;
     loads
 }
