--- a/src/duties.rs
+++ b/src/duties.rs
@@ -1,8 +1,8 @@
-//! Duties: work that one daemon does for all, under a lease that any entry may hold.
+//! Duties: tasks that one daemon performs for the whole fleet, under a lease that any entry may hold.
 //!
-//! The first two entries by rendezvous hash contend for each duty and the others look ever more
-//! seldom, so the store's calls grow with the duties and hardly with the fleet. Losing an entry loses nothing: what a duty needs to know
-//! stands in the store.
+//! The first two entries by rendezvous hashing contend for each duty; the others check the lease less
+//! often with each rank. The load on the store therefore grows with the number of duties and hardly
+//! with the fleet. The loss of an entry loses no state: everything a duty needs is in the store.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -16,24 +16,24 @@
 
 use crate::{billing, control, lease, lease_io, membership, scaler};
 
-/// Entries that contend for a duty.
+/// Number of entries that contend for a duty without delay.
 const CONTENDERS: usize = 2;
-/// Pause of an entry that does not contend.
+/// Pause between two checks of an entry that does not contend; multiplied by its rank.
 const IDLE_MS: u64 = 2_000;
-/// Longest pause between two steps of a contender, so that a stop is noticed.
-const STEP_MS: u64 = 250;
+/// Longest pause between two steps of a contender, so that it notices a shutdown.
+const MAX_STEP_MS: u64 = 250;
 
-/// A duty.
+/// A task that one daemon performs for the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Duty {
     /// Seals and reports the billing windows of a region.
     Billing { region: CompactString },
-    /// Orders the endpoints of an availability zone.
+    /// Starts and stops the endpoints of an availability zone.
     Endpoints { region: CompactString, zone: CompactString },
 }
 
 impl Duty {
-    /// Object key of the duty's lease.
+    /// Returns the object key of the duty's lease.
     #[must_use]
     pub fn key(&self) -> String {
         match self {
@@ -43,18 +43,18 @@
     }
 }
 
-/// A duty as this daemon sees it.
+/// State of a duty as known to this daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     pub duty: String,
     pub holder: CompactString,
     pub epoch: u64,
     pub held_here: bool,
-    /// What the duty is at; for billing the windows sealed and reported.
+    /// Progress of the duty; for billing, the windows that were sealed and reported.
     pub note: String,
 }
 
-/// Starts this daemon's part in the duties, and the writing of its usage sheet.
+/// Starts the tasks that contend for duties and the task that writes this daemon's usage sheet.
 pub fn spawn(control: &Rc<control::Control>, role: membership::Role) {
     task::spawn_local(billing::write_sheet(Rc::clone(control)));
     match role {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Contends for the endpoints of each zone of this region, also of zones that come up later.
+/// Contends for the scaling duty of each zone of this region, including zones that appear later.
 async fn contend_for_zones(control: Rc<control::Control>) {
     let region = control.settings.region.clone();
     let mut known: HashSet<CompactString> = HashSet::new();
@@ -86,7 +86,7 @@
     }
 }
 
-/// What the holder of a duty remembers.
+/// State of a duty's holder.
 enum Worker {
     Billing(billing::Worker),
     Endpoints(Box<scaler::Worker>),
@@ -120,7 +120,7 @@
     }
 }
 
-/// How many entries go before this one in contending for a duty.
+/// Returns the number of ready entries that rank before this one for a duty.
 fn rank(control: &control::Control, duty: &Duty) -> usize {
     let key = duty.key();
     let me = control.me();
@@ -135,16 +135,16 @@
     })
 }
 
-/// Pause of an entry between two steps of its contest.
+/// Returns the pause of an entry between two steps of contending for a duty.
 ///
-/// The first two contend at full pace. The others look at the lease ever more seldom by rank: the
-/// first ones may have died, and a dead entry's record looks like a live one's; were the rest to
-/// wait for them, nobody would do the duty any more.
+/// The first two entries contend without a pause. The others check the lease too, less often with
+/// each rank: the first ones may have failed, and the membership record of a failed entry looks like
+/// that of a live one. If the others only waited for them, nobody would perform the duty.
 fn rank_pause_ms(rank: usize) -> u64 {
     if rank < CONTENDERS { 0 } else { rank as u64 * IDLE_MS }
 }
 
-/// Contends for a duty and does it while it is held.
+/// Contends for a duty and performs it while this daemon holds its lease.
 async fn contend(control: Rc<control::Control>, duty: Duty) {
     let key = duty.key();
     let mut contender =
@@ -176,18 +176,24 @@
             }
             lease::Step::WaitUntil(at_ms) => {
                 let now_ms = control.hub.now_ms();
-                let pause_ms = at_ms.saturating_sub(now_ms).clamp(1, STEP_MS);
+                let pause_ms = at_ms.saturating_sub(now_ms).clamp(1, MAX_STEP_MS);
                 time::sleep(Duration::from_millis(pause_ms)).await;
             }
         }
         if contender.epoch(control.hub.now_ms()).is_some() {
             worker.tick(&control, &contender, &duty).await;
         }
-        show(&control, &duty, &contender, worker.note());
+        publish_status(&control, &duty, &contender, worker.note());
     }
 }
 
-fn show(control: &control::Control, duty: &Duty, contender: &lease::Contender, note: &str) {
+/// Publishes the state of a duty for the status page.
+fn publish_status(
+    control: &control::Control,
+    duty: &Duty,
+    contender: &lease::Contender,
+    note: &str,
+) {
     let Some(record) = contender.holder() else {
         return;
     };
