--- a/src/orders.rs
+++ b/src/orders.rs
@@ -1,14 +1,14 @@
-//! Orders for endpoints, and the fencing numbers that keep an old holder's orders out.
+//! Orders that start and stop endpoints, and the fencing that rejects orders of former lease holders.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
 use crate::lease;
 
-/// Longest time an order is under way; then its connection is closed.
+/// Time limit for sending an order; after it the connection is closed.
 pub const SEND_TIMEOUT_MS: u64 = 1_000;
 
-/// What is ordered.
+/// The action that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "action")]
 pub enum Action {
@@ -16,39 +16,41 @@
     Stop { endpoint: CompactString },
 }
 
-/// One order.
+/// An order to start or stop an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     pub epoch: lease::Epoch,
     pub holder: CompactString,
-    /// Tells orders apart; an order that is sent again keeps it.
+    /// Identifies the order; a retransmitted order keeps its nonce.
     pub nonce: u64,
     #[serde(flatten)]
     pub action: Action,
 }
 
-/// What a holder writes before it sends: who is in charge of a zone's endpoints, and what it is
-/// about to order.
+/// The record that a holder writes before it sends an order: the epoch that is in charge of a zone's
+/// endpoints and the order about to be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     pub epoch: lease::Epoch,
     pub order: Option<Order>,
 }
 
-/// Refuses orders older than the newest seen, for endpoints that do not check.
+/// Rejects orders with an epoch older than the newest one seen, for endpoints that do not check
+/// fencing tokens themselves.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fence {
     newest: lease::Epoch,
 }
 
 impl Fence {
-    /// A fence that knows the epoch in force.
+    /// Creates a fence at the current epoch.
     #[must_use]
     pub fn at(epoch: lease::Epoch) -> Self {
         Self { newest: epoch }
     }
 
-    /// Whether an order of this epoch may pass; a greater one closes the way for all before it.
+    /// Returns whether an order with this epoch is accepted; a greater epoch bars all lower ones from
+    /// then on.
     pub fn admit(&mut self, epoch: lease::Epoch) -> bool {
         if epoch < self.newest {
             return false;
