--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,8 +1,8 @@
-//! Keys of client accounts: how they are made, kept and checked.
+//! API keys of client accounts: generation, storage and verification.
 //!
-//! The secret itself is kept nowhere. The store holds one object a key with the secret's digest;
-//! every daemon holds the table, complete up to a revision. A withdrawn key stays as a tombstone,
-//! so that a late grant of an older revision cannot bring it back.
+//! The secret itself is never stored. The store holds one object per key with the digest of the key;
+//! every daemon holds the whole table, complete up to a revision. A withdrawn key stays in the table as
+//! a tombstone, so that a delayed grant of an older revision cannot restore it.
 
 use std::collections::HashMap;
 
@@ -12,16 +12,16 @@
 
 use crate::error;
 
-/// Prefix of every key, so that a leaked one is found by search.
+/// Prefix of every key, so that leaked keys can be found by a text search.
 const PREFIX: &str = "bw_";
 const SECRET_BYTES: usize = 24;
-/// Longest key text looked at.
+/// Longest key text that is parsed.
 const MAX_KEY_BYTES: usize = 256;
 
 /// Digest of a key's text.
 pub type Digest = [u8; 32];
 
-/// What the store holds of a key.
+/// The stored record of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     pub id: CompactString,
@@ -30,24 +30,24 @@
     pub withdrawn: bool,
 }
 
-/// A record with the store's version of it.
+/// A record with the revision under which the store holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned {
     pub revision: u64,
     pub record: Record,
 }
 
-/// A key just made: the text for the caller, the record for the store.
+/// A generated key: the text for the caller and the record for the store.
 #[derive(Debug)]
 pub struct NewKey {
     pub text: String,
     pub record: Record,
 }
 
-/// Makes a key for an account.
+/// Generates a key for an account.
 ///
 /// # Errors
-/// When the system gives no random bytes.
+/// When the system's random number generator fails.
 pub fn generate(account: &str) -> Result<NewKey, getrandom::Error> {
     let mut id = [0_u8; 6];
     let mut secret = [0_u8; SECRET_BYTES];
@@ -64,13 +64,13 @@
     Ok(NewKey { text, record })
 }
 
-/// Digest of a key's text.
+/// Computes the digest of a key's text.
 #[must_use]
 pub fn digest(text: &str) -> Digest {
     *blake3::hash(text.as_bytes()).as_bytes()
 }
 
-/// Lower-case hexadecimal.
+/// Encodes bytes as lower-case hexadecimal.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> String {
     use std::fmt::Write;
@@ -80,7 +80,7 @@
     })
 }
 
-/// The id within a key's text.
+/// Extracts the id from a key's text.
 #[must_use]
 pub fn parse_id(text: &str) -> Option<&str> {
     if text.len() > MAX_KEY_BYTES {
@@ -90,7 +90,7 @@
     (!id.is_empty() && !secret.is_empty()).then_some(id)
 }
 
-/// All keys known, complete up to a revision.
+/// The known keys, complete up to a revision.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     revision: u64,
@@ -98,7 +98,7 @@
 }
 
 impl Table {
-    /// The greatest revision taken in; all keys up to it are here.
+    /// Returns the greatest revision merged; the table holds all keys up to it.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -114,10 +114,10 @@
         self.records.is_empty()
     }
 
-    /// Takes in a record unless a newer one is known; says whether it was taken.
+    /// Merges a record unless the same or a newer revision is known; returns whether it was merged.
     pub fn merge(&mut self, new: Versioned) -> bool {
-        // A slow peer or an old read can bring back a grant after its withdrawal. Only a greater
-        // revision replaces a record, so the store's last word on a key stands.
+        // A slow peer or a stale read can deliver a grant after its withdrawal. Only a greater revision
+        // replaces a record, so the latest state in the store wins.
         let known = self.records.get(&new.record.id).map_or(0, |known| known.revision);
         if new.revision <= known {
             return false;
@@ -127,7 +127,7 @@
         true
     }
 
-    /// Records newer than a revision, oldest first.
+    /// Returns the records newer than a revision, oldest first.
     #[must_use]
     pub fn after(&self, revision: u64) -> Vec<Versioned> {
         let mut newer: Vec<_> =
@@ -147,10 +147,10 @@
         self.records.get(id).is_some_and(|known| known.record.withdrawn)
     }
 
-    /// Checks a key's text.
+    /// Verifies a key's text and returns its record.
     ///
     /// # Errors
-    /// `InvalidKey` or `KeyWithdrawn`; either way nothing ran.
+    /// `InvalidKey` or `KeyWithdrawn`; in both cases the request did not run.
     pub fn check(&self, text: &str) -> Result<&Versioned, error::Refusal> {
         let invalid = || error::Refusal::not_run(error::Kind::InvalidKey);
         let known = parse_id(text).and_then(|id| self.records.get(id)).ok_or_else(invalid)?;
