--- a/src/operator/confirm.rs
+++ b/src/operator/confirm.rs
@@ -1,7 +1,7 @@
-//! Waits until a change that the store has accepted is held by several daemons.
+//! Waits until several daemons hold a change that the store has accepted.
 //!
-//! Daemons learn of changes from the few that read the store. While only one of them has a change, it is lost
-//! for as long as the store is away if that one fails together with the store.
+//! Daemons receive changes from the few that read the store. If only one of them holds a change and fails
+//! together with the store, the change is not in force until the store is available again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use super::{CommandError, fetch, read_status};
 use crate::{admin, cli, membership};
 
-/// Daemons that have to hold a change.
+/// Number of daemons that have to hold a change.
 const HOLDERS: usize = 3;
-/// Longest wait: a zone whose readers have died is read for again within twenty seconds.
-const LIMIT: Duration = Duration::from_secs(30);
-/// Pause between two rounds of questions.
-const PAUSE: Duration = Duration::from_millis(50);
-/// Daemons asked in one round.
-const ASKED: usize = 16;
-/// Longest wait for one daemon's answer.
-const CALL: Duration = Duration::from_secs(1);
+/// Longest wait. A zone whose readers have failed has a new reader within 20 s.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause between two polling rounds.
+const POLL_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of daemons polled in one round.
+const POLLED_PER_ROUND: usize = 16;
+/// Time limit for one daemon's answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What has to be held.
+/// A change that daemons have to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Change {
-    /// The operators' text of this version.
+    /// The configuration of this version.
     Config(u64),
     /// The keys up to this revision.
     Keys(u64),
@@ -43,15 +43,15 @@
     }
 }
 
-/// Whether these daemons, each in its zone, may lose one of them and still spread a change to a fleet of these
-/// members.
-fn suffice(
+/// Returns whether the holders of a change, given with their zones, can lose one of them and still spread
+/// the change to the members of the fleet.
+fn is_durable(
     holders: &BTreeMap<CompactString, CompactString>,
     members: &BTreeMap<CompactString, CompactString>,
 ) -> bool {
     let zones =
         |of: &BTreeMap<CompactString, CompactString>| of.values().collect::<BTreeSet<_>>().len();
-    // The record of one that has died is still there.
+    // The members may still include the record of a daemon that has failed.
     let needed = HOLDERS.min(members.len().saturating_sub(1)).max(1);
     holders.len() >= needed && zones(holders) >= zones(members).min(2)
 }
@@ -59,50 +59,54 @@
 /// Waits until enough daemons hold a change.
 ///
 /// # Errors
-/// [`CommandError::Unconfirmed`] when they don't within [`LIMIT`].
+/// [`CommandError::Unconfirmed`] if they do not within [`CONFIRM_TIMEOUT`].
 pub(super) async fn wait_until_held(
-    line: &cli::Operator,
+    args: &cli::Operator,
     change: Change,
 ) -> Result<(), CommandError> {
     let mut holders = BTreeMap::new();
     let confirm = async {
         loop {
-            if is_held(line, change, &mut holders).await {
+            if poll_holders(args, change, &mut holders).await {
                 return;
             }
-            time::sleep(PAUSE).await;
+            time::sleep(POLL_PAUSE).await;
         }
     };
-    if time::timeout(LIMIT, confirm).await.is_ok() {
+    if time::timeout(CONFIRM_TIMEOUT, confirm).await.is_ok() {
         return Ok(());
     }
     Err(CommandError::Unconfirmed(format!(
-        "accepted by the store, but after {} s held by {} daemons only: while the store is away it may not \
-         be in force; see `briarwinch status`",
-        LIMIT.as_secs(),
+        "the store has accepted the change, but after {} s only {} daemons are known to hold it: while the \
+         store is unavailable the change may not be in force; see `briarwinch status`",
+        CONFIRM_TIMEOUT.as_secs(),
         holders.len()
     )))
 }
 
-/// Asks some daemons once, and adds those that hold the change to `holders` with their zones.
-async fn is_held(
-    line: &cli::Operator,
+/// Polls some daemons once, adds those that hold the change to `holders` with their zones, and returns
+/// whether the holders suffice.
+async fn poll_holders(
+    args: &cli::Operator,
     change: Change,
     holders: &mut BTreeMap<CompactString, CompactString>,
 ) -> bool {
-    let Ok(Ok(status)) = time::timeout(CALL, read_status(line)).await else {
+    let Ok(Ok(status)) = time::timeout(CALL_TIMEOUT, read_status(args)).await else {
         return false;
     };
     let gone = membership::State::Gone.to_string();
     let present: Vec<_> = status.members.iter().filter(|member| member.state != gone).collect();
     let unknown = present.iter().filter(|member| !holders.contains_key(&member.id));
-    let asked = unknown.choose_multiple(&mut rand::rng(), ASKED).into_iter().map(async |member| {
-        let base = format!("http://{}", member.admin_addr);
-        let asked = time::timeout(CALL, fetch::<admin::Status>(&base, "/status")).await;
-        let is_holder = matches!(asked, Ok(Ok(Some(status))) if change.is_held_by(&status));
-        is_holder.then(|| (member.id.clone(), member.zone.clone()))
-    });
-    holders.extend(future::join_all(asked).await.into_iter().flatten());
+    let polled = unknown.choose_multiple(&mut rand::rng(), POLLED_PER_ROUND).into_iter().map(
+        async |member| {
+            let base = format!("http://{}", member.admin_addr);
+            let answer =
+                time::timeout(CALL_TIMEOUT, fetch::<admin::Status>(&base, "/status")).await;
+            let is_holder = matches!(answer, Ok(Ok(Some(status))) if change.is_held_by(&status));
+            is_holder.then(|| (member.id.clone(), member.zone.clone()))
+        },
+    );
+    holders.extend(future::join_all(polled).await.into_iter().flatten());
     let members = present.iter().map(|member| (member.id.clone(), member.zone.clone())).collect();
-    suffice(holders, &members)
+    is_durable(holders, &members)
 }
--- a/src/operator/resolve.rs
+++ b/src/operator/resolve.rs
@@ -1,4 +1,4 @@
-//! Claims whose outcome is unknown: listed, and resolved by an operator.
+//! The `claims` commands: list claims that are running or of unknown outcome, and resolve them.
 
 use serde::Serialize;
 
@@ -13,8 +13,8 @@
     holder: String,
 }
 
-pub(super) async fn list_claims(line: &cli::Operator) -> Result<String, CommandError> {
-    let listing = open(line).await?.list("claims/").await?;
+pub(super) async fn list_claims(args: &cli::Operator) -> Result<String, CommandError> {
+    let listing = open(args).await?.list("claims/").await?;
     let lines: Vec<ClaimLine> = listing
         .objects
         .iter()
@@ -29,7 +29,7 @@
             Some(ClaimLine { key: object.key.to_string(), state, holder })
         })
         .collect();
-    Ok(print(line.output, &lines, || {
+    Ok(print(args.output, &lines, || {
         let mut text = format!("{:<64} {:<8} holder", "key", "state");
         for claim in &lines {
             text.push_str(&format!("\n{:<64} {:<8} {}", claim.key, claim.state, claim.holder));
@@ -39,11 +39,11 @@
 }
 
 pub(super) async fn resolve(
-    line: &cli::Operator,
+    args: &cli::Operator,
     key: &str,
     outcome: cli::ClaimOutcome,
 ) -> Result<String, CommandError> {
-    let platform = open(line).await?;
+    let platform = open(args).await?;
     let object = platform
         .get(key)
         .await?
@@ -51,7 +51,7 @@
     let mut record: claims::Record =
         serde_json::from_str(&object.value).map_err(anyhow::Error::from)?;
     if matches!(record.state, claims::State::Done(_)) {
-        return Err(CommandError::Other(anyhow::anyhow!("the claim is done already")));
+        return Err(CommandError::Other(anyhow::anyhow!("the claim is already done")));
     }
     match outcome {
         cli::ClaimOutcome::NotRun => platform.delete(key, object.version).await?,
@@ -66,5 +66,5 @@
             platform.put(key, value, Condition::Version(object.version)).await?;
         }
     }
-    Ok(print(line.output, &key, || format!("resolved: {key}")))
+    Ok(print(args.output, &key, || format!("resolved: {key}")))
 }
--- a/src/operator/tables.rs
+++ b/src/operator/tables.rs
@@ -1,10 +1,10 @@
-//! Status and stories as text for a person.
+//! Renders the status, the duties and the record of a request as text.
 
 use crate::{admin, explain};
 
 pub(super) fn status_text(status: &admin::Status) -> String {
     let mut text = format!(
-        "{} in {}: {}, store {}\nconfiguration {}, keys {} (revision {}), list {}",
+        "{} in {}: {}, store {}\nconfiguration {}, keys {} (revision {}), instance list {}",
         status.daemon,
         status.zone,
         match (status.ready, status.draining) {
@@ -31,7 +31,7 @@
             .iter()
             .map(|endpoint| match endpoint.out_because.as_str() {
                 "" => format!("{} ({})", endpoint.id, endpoint.service),
-                why => format!("{} ({}) OUT: {why}", endpoint.id, endpoint.service),
+                reason => format!("{} ({}) OUT: {reason}", endpoint.id, endpoint.service),
             })
             .collect();
         text.push_str(&format!(
@@ -59,25 +59,25 @@
     text
 }
 
-pub(super) fn story_text(story: &explain::RequestRecord, entry: &str) -> String {
+pub(super) fn record_text(record: &explain::RequestRecord, entry: &str) -> String {
     let mut text = format!(
         "request {} by entry {entry}\n  account {}, key {}, class {}, service {}, configuration {}\n  trace {}",
-        story.request,
-        story.account,
-        story.key,
-        story.class,
-        story.service,
-        story.config_version,
-        story.trace_id,
+        record.request,
+        record.account,
+        record.key,
+        record.class,
+        record.service,
+        record.config_version,
+        record.trace_id,
     );
-    for (number, attempt) in story.attempts.iter().enumerate() {
-        text.push_str(&format!("\n  try {}:", number + 1));
+    for (number, attempt) in record.attempts.iter().enumerate() {
+        text.push_str(&format!("\n  attempt {}:", number + 1));
         for asked in &attempt.asked {
             let offer = match asked.first_token_ms {
-                Some(wait_ms) => format!("first token in {wait_ms} ms"),
+                Some(wait_ms) => format!("first token expected in {wait_ms} ms"),
                 None => "no answer".to_owned(),
             };
-            let prefix = if asked.knows_prefix { ", knows the prompt's head" } else { "" };
+            let prefix = if asked.knows_prefix { ", has the prompt's prefix cached" } else { "" };
             text.push_str(&format!(
                 "\n    asked {} in {}: {offer}{prefix}",
                 asked.endpoint, asked.zone
@@ -86,16 +86,16 @@
         let chosen = attempt.chosen.as_deref().unwrap_or("none");
         text.push_str(&format!("\n    chose {chosen}: {}", attempt.outcome));
     }
-    let first = story.first_token_ms.map_or("none".to_owned(), |ms| format!("after {ms} ms"));
-    let queue = story.queue_ms.map_or("unknown".to_owned(), |ms| format!("{ms} ms"));
+    let first = record.first_token_ms.map_or("none".to_owned(), |ms| format!("after {ms} ms"));
+    let queue = record.queue_ms.map_or("unknown".to_owned(), |ms| format!("{ms} ms"));
     text.push_str(&format!(
-        "\n  waited {queue} at the endpoint, first token {first}, {} tokens, {} bytes, {} ms in all\n  status {}, outcome {}{}",
-        story.tokens,
-        story.body_bytes,
-        story.total_ms,
-        story.status,
-        story.outcome,
-        if story.ran.is_empty() { String::new() } else { format!(", ran: {}", story.ran) },
+        "\n  queued for {queue} at the endpoint, first token {first}, {} tokens, {} bytes, {} ms in total\n  status {}, outcome {}{}",
+        record.tokens,
+        record.body_bytes,
+        record.total_ms,
+        record.status,
+        record.outcome,
+        if record.ran.is_empty() { String::new() } else { format!(", ran: {}", record.ran) },
     ));
     text
 }
