--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' listener of every daemon: readiness, metrics, status, explain.
+//! The admin listener of every daemon: readiness, metrics, status and explanations of requests.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,7 +10,7 @@
 
 use crate::{duties, explain, hub, settings};
 
-/// What `/status` says.
+/// The response of `/status`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
     pub daemon: CompactString,
@@ -19,14 +19,14 @@
     pub draining: bool,
     pub store_up: bool,
     pub config_version: u64,
-    /// A newer text that was refused, and why.
+    /// Version of a newer configuration that was rejected, with the error.
     pub config_refused: Option<String>,
     pub keys_revision: u64,
     pub keys: usize,
     pub roster_revision: u64,
     pub members: Vec<MemberLine>,
     pub duties: Vec<duties::Status>,
-    /// Sent for control since the start.
+    /// Control traffic sent since the start of the daemon.
     pub control_bytes_out: u64,
     pub store_calls: u64,
 }
@@ -48,31 +48,32 @@
 pub struct EndpointLine {
     pub id: CompactString,
     pub service: CompactString,
-    /// Why it takes no work; empty when it does.
+    /// Why the endpoint receives no requests; empty if it does.
     pub out_because: String,
 }
 
 #[derive(Clone)]
 struct State {
     hub: Arc<hub::Hub>,
-    ring: Option<Arc<explain::RequestHistory>>,
+    history: Option<Arc<explain::RequestHistory>>,
     metrics: PrometheusHandle,
     id: CompactString,
     zone: CompactString,
 }
 
-/// Starts the listener on a thread of its own. It ends with the process.
+/// Starts the listener on its own thread, which runs until the process ends.
 ///
 /// # Errors
 /// When the thread cannot be started.
 pub fn spawn(
     settings: &settings::Daemon,
     hub: Arc<hub::Hub>,
-    ring: Option<Arc<explain::RequestHistory>>,
+    history: Option<Arc<explain::RequestHistory>>,
     metrics: PrometheusHandle,
     listener: std::net::TcpListener,
 ) -> anyhow::Result<()> {
-    let state = State { hub, ring, metrics, id: settings.id.clone(), zone: settings.zone.clone() };
+    let state =
+        State { hub, history, metrics, id: settings.id.clone(), zone: settings.zone.clone() };
     std::thread::Builder::new().name("admin".to_owned()).spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
         runner.block_on(async move {
@@ -114,9 +115,9 @@
     state: web::types::State<State>,
     request: web::types::Path<String>,
 ) -> HttpResponse {
-    let story = state.ring.as_ref().and_then(|ring| ring.find(&request));
-    match story {
-        Some(story) => HttpResponse::Ok().json(&story),
+    let record = state.history.as_ref().and_then(|history| history.find(&request));
+    match record {
+        Some(record) => HttpResponse::Ok().json(&record),
         None => HttpResponse::NotFound().json(&serde_json::json!({"error": "not remembered here"})),
     }
 }
