--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,30 +1,30 @@
-//! The command lines of the binaries.
+//! Command-line arguments of the binaries.
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// Command line of a daemon.
+/// Command-line arguments of a daemon.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Daemon {
-    /// Settings: JSON with comments
+    /// Settings file, in JSON with comments
     #[arg(long, value_name = "FILE")]
     pub settings: PathBuf,
-    /// Check the settings and stop
+    /// Check the settings and exit
     #[arg(long)]
     pub check: bool,
 }
 
-/// Drives the fleet: the operators' text, keys, status.
+/// Operates a fleet: configuration, keys, status and claims.
 ///
-/// Exit codes: 0 done; 1 it failed; 2 the command line is wrong; 3 the text has a mistake;
-/// 4 somebody else changed it first; 5 the platform or a daemon does not answer; 6 the platform has
-/// accepted a change, and too few daemons are known to hold it.
+/// Exit codes: 0 success; 1 failure; 2 invalid command line; 3 invalid configuration; 4 changed by
+/// somebody else in the meantime; 5 the platform or a daemon does not answer; 6 the platform has
+/// accepted a change, but too few daemons are known to hold it.
 #[derive(Debug, Parser)]
 #[command(name = "briarwinch", version)]
 pub struct Operator {
-    /// The platform, as `http://IP:PORT`
+    /// Address of the platform, as `http://IP:PORT`
     #[arg(
         long,
         global = true,
@@ -32,7 +32,7 @@
         default_value = "http://127.0.0.1:7700"
     )]
     pub platform: String,
-    /// The operators' listener of any daemon, as `http://IP:PORT`
+    /// Address of the admin listener of any daemon, as `http://IP:PORT`
     #[arg(long, global = true, env = "BRIARWINCH_ADMIN", default_value = "http://127.0.0.1:7701")]
     pub admin: String,
     #[arg(long, global = true, value_enum, default_value_t = Output::Text)]
@@ -41,24 +41,24 @@
     pub command: Command,
 }
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
     Text,
     Json,
 }
 
-/// What to do.
+/// Subcommands of the operator's tool.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check an operators' text
+    /// Check a configuration
     Check { file: PathBuf },
-    /// Show what a text would change
+    /// Show what a configuration would change
     Diff { file: PathBuf },
-    /// Put a text in force
+    /// Put a configuration in force
     Apply {
         file: PathBuf,
-        /// Only if the text in force stands at this version
+        /// Apply only if the configuration in force has this version
         #[arg(long, value_name = "VERSION")]
         expect: Option<u64>,
     },
@@ -69,19 +69,19 @@
     },
     /// Show daemons, versions in force, duties and endpoints
     Status,
-    /// Tell what happened to a request
+    /// Show how an entry handled a request
     Explain { request: String },
-    /// Tell a request's way out of the logs of all processes
+    /// Show the log lines of a request across all processes
     Story {
         request: String,
-        /// Logs: JSON lines
+        /// Log files, one JSON object per line
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Also what the processes believed meanwhile
+        /// Include the fleet events that the involved processes logged during the request
         #[arg(long)]
         around: bool,
     },
-    /// Show who holds which duty
+    /// Show the holder of each duty
     Duties,
     /// List and resolve claims whose outcome is unknown
     Claims {
@@ -90,10 +90,10 @@
     },
 }
 
-/// What to do with keys.
+/// Subcommands of `keys`.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Make a key for a client account; prints it once
+    /// Grant a key to a client account; the key is printed only once
     Grant { account: String },
     /// Withdraw a key by its id
     Withdraw { id: String },
@@ -101,25 +101,25 @@
     List,
 }
 
-/// What to do with claims.
+/// Subcommands of `claims`.
 #[derive(Debug, Subcommand)]
 pub enum ClaimCommand {
     /// List claims that are running or of unknown outcome
     List,
-    /// Say what became of a call
+    /// Record the outcome of a call
     Resolve {
-        /// Object key of the claim, as `claims list` prints it
+        /// Object key of the claim, as printed by `claims list`
         key: String,
         #[arg(long, value_enum)]
         outcome: ClaimOutcome,
     },
 }
 
-/// What an operator found out about a call.
+/// Outcome of a call as determined by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ClaimOutcome {
-    /// It ran; callers that ask again are told so
+    /// The call ran; callers that retry are told so
     Ran,
-    /// It did not run; callers may ask again
+    /// The call did not run; callers may retry
     NotRun,
 }
