--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -1,8 +1,8 @@
-//! Reads JSON with comments into typed values, and says where a mistake stands.
+//! Parses JSON with comments into typed values and reports the position of errors.
 //!
-//! The text goes in; a value of the asked type comes out, or a [`Error`] with line, column and a
-//! plain message. Later checks on the typed value report by [`Path`], which is looked up in the
-//! same parsed text, so they carry line and column as well.
+//! Parsing returns a value of the requested type or an [`Error`] with line, column and message. Later
+//! checks of the typed value report a [`Path`], which is looked up in the same parsed text, so their
+//! errors have a line and a column as well.
 
 use std::fmt;
 
@@ -10,10 +10,10 @@
 use jsonc_parser::common::Ranged;
 use serde::de::DeserializeOwned;
 
-/// A mistake in a text, with where it stands.
+/// An error in a text, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Counted from one; zero when the place is not known.
+    /// Counted from one; zero if the position is unknown.
     pub line: usize,
     /// Counted from one, in characters.
     pub column: usize,
@@ -44,7 +44,7 @@
 /// A path into a document.
 pub type Path = Vec<Step>;
 
-/// Builds a [`Path`] out of names and indices.
+/// Builds a [`Path`] from names and indices.
 #[macro_export]
 macro_rules! path {
     ($($step:expr),* $(,)?) => { vec![$($crate::jsonc::Step::from($step)),*] };
@@ -57,23 +57,23 @@
     root: ast::Value<'a>,
 }
 
-/// Comments and a comma after the last element, and nothing else beyond JSON: a name without quotes
-/// is a slip of the pen.
+/// Allows comments and trailing commas, but no other extension of JSON: a name without quotes is most
+/// likely a typing error.
 const OPTIONS: jsonc_parser::ParseOptions = jsonc_parser::ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
 };
 
-/// The deepest nesting a text may have; deeper ones are refused before they are parsed, since the
-/// parser recurses and a hostile text would otherwise overflow the stack.
+/// Maximum nesting depth. Deeper texts are rejected before they are parsed: the parser is recursive, and
+/// a malicious text could overflow the stack.
 const MAX_DEPTH: usize = 64;
 
 impl<'a> Document<'a> {
     /// Parses a text.
     ///
     /// # Errors
-    /// The first mistake of syntax, or a field that stands twice in one object.
+    /// The first syntax error, or a field that occurs twice in one object.
     pub fn parse(text: &'a str) -> Result<Self, Error> {
         check_depth(text)?;
         let parsed = jsonc_parser::parse_to_ast(text, &Default::default(), &OPTIONS)
@@ -81,14 +81,14 @@
         let root =
             parsed.value.ok_or_else(|| error_at_byte(text, 0, "the text is empty".to_owned()))?;
         let document = Self { text, root };
-        document.check_twice(&document.root)?;
+        document.check_duplicates(&document.root)?;
         Ok(document)
     }
 
-    /// Reads the text as a value of type `T`.
+    /// Deserializes the text into a value of type `T`.
     ///
     /// # Errors
-    /// The first field that is missing, unknown or of another type.
+    /// The first field that is missing, unknown or of the wrong type.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, Error> {
         let value: serde_json::Value = self.root.clone().into();
         serde_path_to_error::deserialize(&value).map_err(|error| {
@@ -103,7 +103,7 @@
         })
     }
 
-    /// A mistake at the given path, or at its nearest ancestor that stands in the text.
+    /// Creates an error at the given path, or at its nearest ancestor that is present in the text.
     #[must_use]
     pub fn error_at(&self, path: &[Step], message: impl Into<String>) -> Error {
         error_at_byte(self.text, self.locate(path), message.into())
@@ -129,7 +129,7 @@
         start
     }
 
-    fn check_twice(&self, value: &ast::Value<'_>) -> Result<(), Error> {
+    fn check_duplicates(&self, value: &ast::Value<'_>) -> Result<(), Error> {
         match value {
             ast::Value::Object(object) => {
                 let mut seen = std::collections::HashSet::new();
@@ -139,12 +139,12 @@
                             format!("the field `{}` is given twice", property.name.as_str());
                         return Err(error_at_byte(self.text, property.range.start, message));
                     }
-                    self.check_twice(&property.value)?;
+                    self.check_duplicates(&property.value)?;
                 }
                 Ok(())
             }
             ast::Value::Array(array) => {
-                array.elements.iter().try_for_each(|element| self.check_twice(element))
+                array.elements.iter().try_for_each(|element| self.check_duplicates(element))
             }
             _ => Ok(()),
         }
@@ -152,8 +152,8 @@
 }
 
 fn check_depth(text: &str) -> Result<(), Error> {
-    // Brackets inside strings count too; a text with 64 of them unbalanced in one string is
-    // refused by mistake, which a person can mend.
+    // Brackets inside strings count as well. A text with 64 unbalanced brackets in one string is
+    // rejected although it is valid; its author can rewrite it.
     let mut depth = 0_usize;
     for (at, byte) in text.bytes().enumerate() {
         match byte {
