--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of its last requests, so that it can say what it did and why.
+//! Records of the latest requests of an entry, which explain how each was handled and why.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -6,20 +6,20 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Requests remembered; about half a kilobyte each.
+/// Number of records kept; each takes about 0.5 kB.
 const MAX_RECORDS: usize = 4096;
 
-/// One offer that was weighed.
+/// An endpoint that was asked for an offer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Candidate {
     pub endpoint: CompactString,
     pub zone: CompactString,
-    /// `None`: no answer came in time.
+    /// Offered time to first token; `None` if no answer came in time.
     pub first_token_ms: Option<u32>,
     pub knows_prefix: bool,
 }
 
-/// One try to get a request served.
+/// One attempt to have a request served.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Attempt {
     pub asked: Vec<Candidate>,
@@ -27,7 +27,7 @@
     pub outcome: CompactString,
 }
 
-/// What happened to one request.
+/// How one request was handled.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RequestRecord {
     pub request: CompactString,
@@ -48,7 +48,7 @@
     pub body_bytes: u64,
 }
 
-/// The last requests, oldest dropped first.
+/// The records of the latest requests; the oldest one is dropped first.
 #[derive(Debug, Default)]
 pub struct RequestHistory {
     records: Mutex<VecDeque<RequestRecord>>,
