--- a/src/openai.rs
+++ b/src/openai.rs
@@ -1,17 +1,17 @@
-//! The part of the OpenAI form of requests and answers that the router itself has to read.
+//! The parts of OpenAI's request and response formats that the router itself reads.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3;
 
-/// Characters to a token, roughly, for prompts whose tokens nobody has counted yet.
+/// Approximate number of characters per token, for prompts whose tokens have not been counted.
 const CHARS_PER_TOKEN: usize = 4;
-/// Assumed where a request does not bound its output.
+/// Assumed output limit of a request that sets none.
 const DEFAULT_MAX_TOKENS: u32 = 1024;
-/// How much of a prompt's head decides where it is best served.
+/// Length of the prompt prefix that determines the prefix-cache affinity of a request.
 const PREFIX_BYTES: usize = 512;
 
-/// What the router reads of a completion request.
+/// The fields of a completion request that the router reads.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: CompactString,
@@ -39,14 +39,14 @@
     pub max_tokens: u32,
     /// Estimated from the prompt's length.
     pub prompt_tokens: u32,
-    /// Digest of the prompt's head.
+    /// Digest of the prompt's prefix.
     pub prefix: u64,
 }
 
-/// Reads a completion request.
+/// Parses a completion request.
 ///
 /// # Errors
-/// A sentence for the caller when the body is not one.
+/// A message for the caller if the body is not a completion request.
 pub fn parse(body: &[u8]) -> Result<Completion, String> {
     let body: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let mut text_bytes = 0;
@@ -90,17 +90,17 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Whole {
+struct Response {
     usage: Usage,
 }
 
-/// Tokens that a whole answer says it has.
+/// Returns the number of output tokens that a complete response reports.
 #[must_use]
 pub fn output_tokens(body: &[u8]) -> Option<u32> {
-    serde_json::from_slice::<Whole>(body).ok().map(|whole| whole.usage.completion_tokens)
+    serde_json::from_slice::<Response>(body).ok().map(|response| response.usage.completion_tokens)
 }
 
-/// A line of `/v1/models`.
+/// A model in the response of `/v1/models`.
 #[derive(Debug, Serialize)]
 pub struct Model<'a> {
     pub id: &'a str,
@@ -108,7 +108,7 @@
     pub owned_by: &'a str,
 }
 
-/// `/v1/models`.
+/// The response of `/v1/models`.
 #[derive(Debug, Serialize)]
 pub struct Models<'a> {
     pub object: &'static str,
