--- a/src/answer.rs
+++ b/src/answer.rs
@@ -1,19 +1,19 @@
-//! An answer as a side keeps it: head, body so far, and how it ended.
+//! An answer as buffered by a side: head, body received so far, and ending.
 //!
-//! It outlives the link that carries it, so that a caller who comes back gets the rest of the same
-//! run. Pure: bytes go in, pieces by offset come out.
+//! The answer outlives the link that carries it, so that a caller that reconnects gets the rest of the
+//! same run. This module does no I/O: it takes bytes and returns pieces by offset.
 
 use crate::{error, wire};
 
-/// Least that is let go of at once: each time moves all that is kept.
+/// Minimum number of bytes discarded at once, since each discard moves all bytes that are kept.
 const MIN_DISCARD_BYTES: usize = 16 << 10;
 
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// All of it is here.
+    /// The answer is complete.
     Complete { tokens: u32, queue_ms: u32 },
-    /// There is no more, for this reason.
+    /// The answer was cut short or never started, for this reason.
     Refused(error::Refusal),
 }
 
@@ -24,15 +24,15 @@
     pub headers: Vec<wire::Header>,
 }
 
-/// An answer so far.
+/// An answer as received so far.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     pub head: Option<AnswerHead>,
     body: Vec<u8>,
-    /// Where `body` begins in the whole body, after a head that was let go.
-    begin: u64,
+    /// Offset of `body` in the whole body; the bytes before it were discarded.
+    start: u64,
     pub ending: Option<Ending>,
-    /// Kept from an earlier run.
+    /// Whether the answer was stored by an earlier run.
     pub replayed: bool,
 }
 
@@ -41,46 +41,46 @@
         self.body.extend_from_slice(bytes);
     }
 
-    /// Length of the body so far.
+    /// Returns the length of the body received so far.
     #[must_use]
     pub fn length(&self) -> u64 {
-        self.begin + self.body.len() as u64
+        self.start + self.body.len() as u64
     }
 
-    /// Bytes in memory.
+    /// Returns the number of body bytes held in memory.
     #[must_use]
     pub fn held_bytes(&self) -> usize {
         self.body.len()
     }
 
-    /// Whether the body can be given from this offset on.
+    /// Returns whether the body can be read from this offset on.
     #[must_use]
     pub fn is_available_from(&self, offset: u64) -> bool {
-        offset >= self.begin && offset <= self.length()
+        offset >= self.start && offset <= self.length()
     }
 
-    /// The body from an offset, at most `most` bytes of it.
+    /// Returns at most `most` bytes of the body from an offset.
     #[must_use]
     pub fn piece(&self, offset: u64, most: usize) -> &[u8] {
-        let Some(skip) = offset.checked_sub(self.begin) else {
+        let Some(skip) = offset.checked_sub(self.start) else {
             return &[];
         };
         let rest = self.body.get(skip as usize..).unwrap_or(&[]);
         &rest[..rest.len().min(most)]
     }
 
-    /// Lets go of the body before an offset, once that is worth moving the rest.
+    /// Discards the body before an offset if at least [`MIN_DISCARD_BYTES`] can be discarded.
     pub fn discard_before(&mut self, offset: u64) {
-        let count = offset.saturating_sub(self.begin).min(self.body.len() as u64) as usize;
+        let count = offset.saturating_sub(self.start).min(self.body.len() as u64) as usize;
         if count < MIN_DISCARD_BYTES {
             return;
         }
         self.body.drain(..count);
-        self.begin += count as u64;
+        self.start += count as u64;
     }
 }
 
-/// Where one reader of an answer is.
+/// The position of one reader in an answer.
 #[derive(Clone, Debug)]
 pub struct Reader {
     pub stream: wire::StreamId,
@@ -90,8 +90,8 @@
     has_ending: bool,
 }
 
-/// Largest piece in one frame, so that one long answer does not hold up the others on its link.
-const PIECE_BYTES: usize = 16 << 10;
+/// Largest piece in one frame, so that a long answer does not delay the others on its link.
+const MAX_PIECE_BYTES: usize = 16 << 10;
 
 impl Reader {
     #[must_use]
@@ -99,13 +99,13 @@
         Self { stream, offset, credit_bytes, has_head: offset > 0, has_ending: false }
     }
 
-    /// The reader has all there will ever be.
+    /// Returns whether the reader has received the whole answer including its ending.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.has_ending
     }
 
-    /// The next frame for this reader, if there is one and its credit allows.
+    /// Returns the next frame for this reader, if there is one and the credit allows it.
     pub fn next(&mut self, answer: &Answer) -> Option<wire::ToEntry> {
         if self.has_ending {
             return None;
@@ -120,7 +120,8 @@
                 replayed: answer.replayed,
             }));
         }
-        let most = PIECE_BYTES.min(usize::try_from(self.credit_bytes).unwrap_or(PIECE_BYTES));
+        let most =
+            MAX_PIECE_BYTES.min(usize::try_from(self.credit_bytes).unwrap_or(MAX_PIECE_BYTES));
         let piece = answer.piece(self.offset, most);
         if !piece.is_empty() {
             let offset = self.offset;
