--- a/src/body.rs
+++ b/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's body up to a limit.
+//! Reads the body of a caller's request up to a size limit.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::error;
 
-/// How much of a body is read and dropped past its limit. A connection that is closed while bytes are still
-/// coming is reset, and the caller never sees why it was refused.
+/// Number of bytes that are read and dropped beyond the limit. If the connection were closed while bytes
+/// are still arriving, it would be reset and the caller would not see the refusal.
 const MAX_DROPPED_BYTES: usize = 16 << 20;
 
-/// Reads a whole body of at most so many bytes within a time.
+/// Reads a whole body of at most `most_bytes` within the time limit.
 ///
 /// # Errors
-/// The refusal of a body that is too large, broke off or came too slowly.
+/// A refusal if the body is too large, is cut off or arrives too slowly.
 pub async fn read(
     mut payload: Payload,
     most_bytes: usize,
