--- a/src/sse.rs
+++ b/src/sse.rs
@@ -1,23 +1,23 @@
-//! Counts the tokens in a stream of server-sent events, in whatever pieces it arrives.
+//! Counts the tokens in a stream of server-sent events that arrives in arbitrary pieces.
 
 const DATA: &[u8] = b"data:";
 const DONE: &[u8] = b" [DONE]";
 
-/// Counts events with content; one event is one token for the engines of the brief.
+/// Counts events with content; the supported engines send one event per token.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counter {
-    /// Bytes of `data:` matched in this line, or `None` once the line is something else.
+    /// Number of bytes of `data:` matched in this line; `None` if the line does not start with it.
     matched: Option<usize>,
     started: bool,
     done_matched: usize,
     in_data: bool,
     tokens: u32,
-    /// The stream's closing event has come.
+    /// Whether the closing event of the stream was received.
     done: bool,
 }
 
 impl Counter {
-    /// Takes in a piece of the stream.
+    /// Processes a piece of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         if !self.started {
             self.started = true;
@@ -60,12 +60,12 @@
         self.tokens
     }
 
-    /// Takes the count from elsewhere, for an answer that is no stream.
+    /// Sets the count directly, for an answer that is not a stream.
     pub fn set_tokens(&mut self, tokens: u32) {
         self.tokens = tokens;
     }
 
-    /// Whether the closing event has come.
+    /// Returns whether the closing event was received.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
