--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! briarwinch routes language-model traffic with service levels and priorities.
 //!
-//! Callers reach an *entry*; the entry asks a few *sides* (one process beside each endpoint
-//! instance) when the first token would start, and submits to the best. The side's queue decides
-//! what runs next. What must last stands in the platform's object API; everything else a daemon
-//! knows it learns from its peers. `docs/DESIGN.md` has the whole of it.
+//! Callers send requests to an *entry*. The entry asks a few *sides* (one process next to each endpoint
+//! instance) for their expected time to first token and submits the request to the best one. The side's
+//! queue decides what runs next. Durable state is kept in the platform's object API; a daemon learns
+//! everything else from its peers. `docs/DESIGN.md` describes the whole design.
 //!
 //! ```
 //! let text = r#"{
