--- a/src/bin/briarwinch-entry.rs
+++ b/src/bin/briarwinch-entry.rs
@@ -1,4 +1,4 @@
-//! The entry daemon: callers' requests in, answers out.
+//! The entry daemon: accepts callers' requests and routes them to endpoints.
 
 use std::process::ExitCode;
 
--- a/src/bin/briarwinch-side.rs
+++ b/src/bin/briarwinch-side.rs
@@ -1,4 +1,4 @@
-//! The side daemon: the only way to the endpoints of its instance.
+//! The side daemon: the only access path to the endpoints of its instance.
 
 use std::process::ExitCode;
 
--- a/src/bin/briarwinch.rs
+++ b/src/bin/briarwinch.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! The command-line tool for operators.
 
 use std::process::ExitCode;
 
@@ -6,9 +6,9 @@
 use clap::Parser;
 
 fn main() -> ExitCode {
-    let line = cli::Operator::parse();
+    let args = cli::Operator::parse();
     let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
-    match runner.block_on(async move { operator::run(&line).await }) {
+    match runner.block_on(async move { operator::run(&args).await }) {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
