--- a/src/story.rs
+++ b/src/story.rs
@@ -1,27 +1,27 @@
-//! One request's way, out of the logs of all processes.
+//! Traces one request through the logs of all processes.
 //!
-//! In go log lines of any number of processes; out come those that name the request, in order of
-//! time, one short line each. What the fleet believed just then (configuration, endpoints, store)
-//! stands between them when asked for.
+//! Takes log lines of any number of processes and returns those that name the request, in order of time,
+//! one short line each. On demand, it also returns the fleet events (configuration, endpoints, store) that
+//! were logged in between.
 
 use compact_str::CompactString;
 use serde_json::{Map, Value};
 
-/// One line of a log, as far as it is needed here.
+/// The parsed parts of a log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// RFC 3339, in UTC; sorts as text.
+    /// RFC 3339, in UTC; sorts chronologically as text.
     pub time: CompactString,
     pub daemon: CompactString,
     pub message: CompactString,
     pub fields: Map<String, Value>,
 }
 
-/// Fields that each line has and that stand elsewhere in the story.
+/// Fields that are common to all lines and are not printed as `name=value`.
 const COMMON: [&str; 5] = ["msg", "ts", "daemon", "level", "request"];
 
 impl Line {
-    /// Reads a line; whatever a collector put before the JSON is left out.
+    /// Parses a line; skips anything that a log collector put before the JSON.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find('{')?;
@@ -32,13 +32,13 @@
         Some(Self { time, daemon, message, fields })
     }
 
-    /// Whether it names this request.
+    /// Returns whether the line names this request.
     #[must_use]
     pub fn is_about(&self, request: &str) -> bool {
         self.fields.get("request").and_then(Value::as_str) == Some(request)
     }
 
-    fn is_of_the_fleet(&self) -> bool {
+    fn is_fleet_event(&self) -> bool {
         !self.fields.contains_key("request")
     }
 }
@@ -58,8 +58,8 @@
     }
 }
 
-/// The lines about a request, in order of time; with `around`, also what the processes that handled
-/// it said of the fleet between its first and its last line.
+/// Returns the lines of a request in order of time. With `around`, includes the lines without a request
+/// that the processes that handled it logged between its first and its last line.
 #[must_use]
 pub fn request_lines(mut lines: Vec<Line>, request: &str, around: bool) -> Vec<Line> {
     lines.sort_by(|a, b| a.time.cmp(&b.time));
@@ -73,7 +73,7 @@
     let is_near = |line: &Line| {
         let is_between = line.time >= first.time && line.time <= last.time;
         let is_handler = about.iter().any(|one| one.daemon == line.daemon);
-        line.is_about(request) || (line.is_of_the_fleet() && is_between && is_handler)
+        line.is_about(request) || (line.is_fleet_event() && is_between && is_handler)
     };
     lines.iter().filter(|line| is_near(line)).cloned().collect()
 }
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -1,4 +1,4 @@
-//! A request's story out of recorded logs.
+//! Extraction of a request's log lines from recorded logs.
 
 use briarwinch::story::{self, Line};
 use expect_test::expect;
@@ -14,33 +14,33 @@
 {"half a line
 "#;
 
-fn tell(request: &str, around: bool) -> String {
+fn story(request: &str, around: bool) -> String {
     let lines = LOGS.lines().filter_map(Line::parse).collect();
     story::request_lines(lines, request, around).iter().map(|line| format!("{line}\n")).collect()
 }
 
 #[test]
-fn a_story_is_in_order_across_processes() {
+fn lines_of_a_request_are_ordered_across_processes() {
     expect![[r#"
         2026-01-15T08:10:59.10Z entry-1 sent attempt=1 endpoint=a
         2026-01-15T08:10:59.25Z entry-1 refused status=502
         2026-01-15T08:10:59.30Z entry-2 sent attempt=2 endpoint=b
     "#]]
-    .assert_eq(&tell("r-1", false));
+    .assert_eq(&story("r-1", false));
 }
 
 #[test]
-fn what_its_processes_believed_stands_between() {
+fn fleet_events_of_the_involved_processes_are_included() {
     expect![[r#"
         2026-01-15T08:10:59.10Z entry-1 sent attempt=1 endpoint=a
         2026-01-15T08:10:59.20Z entry-1 endpoint gone endpoint=a
         2026-01-15T08:10:59.25Z entry-1 refused status=502
         2026-01-15T08:10:59.30Z entry-2 sent attempt=2 endpoint=b
     "#]]
-    .assert_eq(&tell("r-1", true));
+    .assert_eq(&story("r-1", true));
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
-    assert_eq!(tell("r-3", true), "");
+fn an_unknown_request_has_no_lines() {
+    assert_eq!(story("r-3", true), "");
 }
