--- a/tests/documents.rs
+++ b/tests/documents.rs
@@ -1,4 +1,4 @@
-//! What the documents and the sources say of each other: names, metrics, log lines.
+//! Consistency of documents and sources: names of the platform, metrics and log messages.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -29,13 +29,13 @@
     fs::read_to_string(root().join(name)).expect("a document")
 }
 
-/// Texts in quotes that come after `before`, across line ends.
+/// Returns the first quoted text after each occurrence of `before`, also across line ends.
 fn quoted_after(text: &str, before: &str) -> Vec<String> {
     let pieces = text.split(before).skip(1);
     pieces.filter_map(|piece| piece.split('"').nth(1).map(str::to_owned)).collect()
 }
 
-/// The platform's names on the wire and in its settings.
+/// Returns the platform's names on the wire and in its settings.
 fn platform_names() -> BTreeSet<String> {
     let headers = document("platform/src/headers.rs");
     let quoted = headers.split('"').skip(1).step_by(2).map(str::to_owned);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_platforms_names_stand_in_its_folder_only() {
+fn names_of_the_platform_occur_in_its_folder_only() {
     let names = platform_names();
     assert!(names.len() > 15, "{names:?}");
     for (path, text) in sources("src") {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_platforms_folder_stays_small() {
+fn the_platform_folder_has_a_bounded_number_of_lines() {
     let lines: usize = sources("platform/src").iter().map(|(_, text)| text.lines().count()).sum();
     assert!(lines < 2_500, "{lines} lines");
 }
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn every_log_line_of_an_entry_is_documented() {
+fn every_log_message_of_a_gateway_is_documented() {
     let operations = document("docs/OPERATIONS.md");
     for folder in ["src/gateway", "platform/src"] {
         for (path, text) in sources(folder) {
