--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -8,7 +8,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use briarwinch::answer::{Answer, Reader, Top};
+use briarwinch::answer::{Answer, AnswerHead, Reader};
 use briarwinch::gossip::SharedState;
 use briarwinch::queue::{ClassRule, Job, Queue};
 use briarwinch::seal::{self, Secret};
@@ -280,7 +280,7 @@
     let table = || {
         let mut table = keys::Table::default();
         for number in 0..KEYS {
-            table.take(key(number));
+            table.merge(key(number));
         }
         table
     };
@@ -290,9 +290,9 @@
         black_box(full.clone());
     });
     print("keys: copy a table of 6800 (a change while traffic reads it)", "ns", copy);
-    let made = keys::make("account").expect("random bytes");
+    let made = keys::generate("account").expect("random bytes");
     let mut one = keys::Table::default();
-    one.take(keys::Versioned { revision: 1, record: made.record });
+    one.merge(keys::Versioned { revision: 1, record: made.record });
     let check = time_ns(2_000, || {
         for _ in 0..2_000 {
             black_box(one.check(&made.text).is_ok());
@@ -328,7 +328,7 @@
         (0..1_000)
             .map(|slot| {
                 let mut answer = Answer::default();
-                answer.top = Some(Top { status: 200, headers: Vec::new() });
+                answer.head = Some(AnswerHead { status: 200, headers: Vec::new() });
                 answer.push(&[b'x'; 32 << 10]);
                 (answer, Reader::new(wire::StreamId { slot, generation: 1 }, 0, 0))
             })
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -107,7 +107,7 @@
     let id = CompactString::from(trace::request_id());
     let parent = text_header(&http, "traceparent").and_then(trace::Context::parse);
     let span = trace::Span::start("entry", parent.unwrap_or_else(trace::Context::root));
-    let mut story = explain::Story {
+    let mut story = explain::RequestRecord {
         request: id.clone(),
         trace_id: format!("{:032x}", span.context.trace),
         ..Default::default()
@@ -143,7 +143,7 @@
     }
     let config = &snapshot.config.as_ref()?.model;
     let data = config.services.iter().flat_map(|service| {
-        service.text.models.iter().map(|model| openai::Model {
+        service.spec.models.iter().map(|model| openai::Model {
             id: model,
             object: "model",
             owned_by: &service.name,
@@ -178,7 +178,7 @@
     payload: web::types::Payload,
     id: CompactString,
     trace: trace::Context,
-    story: &mut explain::Story,
+    story: &mut explain::RequestRecord,
 ) -> Result<(Request, Active), error::Refusal> {
     let arrived_ms = worker.now_ms();
     let snapshot = worker.snapshot();
@@ -215,7 +215,7 @@
     let class = config.class_at(class_key);
     story.class = class.name.clone();
     let is_safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
-    let repeatable = service.text.repeatable || is_safe;
+    let repeatable = service.spec.repeatable || is_safe;
     let idempotency = idempotency(worker, http, &account.name, &service.name)?;
     if !repeatable && idempotency.is_none() {
         return Err(refuse(error::Kind::IdempotencyKeyRequired));
@@ -233,7 +233,7 @@
         key_revision: key.revision,
         arrived_ms,
         deadline_at_ms: arrived_ms + u64::from(deadline_ms),
-        target_at_ms: arrived_ms + u64::from(class.text.latency_target_ms),
+        target_at_ms: arrived_ms + u64::from(class.spec.latency_target_ms),
         tokens_per_s,
         prompt_tokens: destination.prompt_tokens,
         max_tokens: destination.max_tokens,
@@ -306,7 +306,7 @@
     let (name, rest) = rest.split_once('/').unwrap_or((rest, ""));
     let service = config
         .service(name)
-        .filter(|key| config.service_at(*key).text.kind == config::ServiceKind::Plain)
+        .filter(|key| config.service_at(*key).spec.kind == config::ServiceKind::Plain)
         .ok_or_else(|| refuse(error::Kind::UnknownService).detail(format!("(`{name}`)")))?;
     let query = http.uri().query().map_or(String::new(), |query| format!("?{query}"));
     Ok(Destination {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -26,7 +26,7 @@
     worker: &Rc<Worker>,
     request: intake::Request,
     active: intake::Active,
-    mut story: explain::Story,
+    mut story: explain::RequestRecord,
     span: trace::Span,
 ) -> HttpResponse {
     let begin_ms = request.arrived_ms;
@@ -48,7 +48,7 @@
 async fn open(
     worker: &Rc<Worker>,
     request: &intake::Request,
-    story: &mut explain::Story,
+    story: &mut explain::RequestRecord,
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     check_dependencies(worker, request)?;
     let mut tried: HashSet<placement::Target> = HashSet::new();
@@ -246,10 +246,10 @@
 fn describe_ask(
     place: &membership::EndpointLocation,
     offers: &[asks::ReceivedOffer],
-) -> explain::Asked {
+) -> explain::Candidate {
     let target = placement::Target::of(place);
     let offer = offers.iter().find(|received| received.target == target);
-    explain::Asked {
+    explain::Candidate {
         endpoint: place.id.clone(),
         zone: place.zone.clone(),
         first_token_ms: offer.map(|received| received.offer.first_token_ms),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct RejectedConfig {
     pub version: u64,
-    pub mistake: jsonc::Mistake,
+    pub mistake: jsonc::Error,
 }
 
 /// Which parts of the shared state a merge changed.
@@ -166,7 +166,7 @@
             changed.config = self.merge_config(text);
         }
         for key in update.keys {
-            changed.keys |= Arc::make_mut(&mut self.keys).take(key);
+            changed.keys |= Arc::make_mut(&mut self.keys).merge(key);
         }
         if let Some(roster) = update.roster {
             changed.roster = self.merge_roster(roster);
@@ -195,7 +195,7 @@
                     continue;
                 };
                 let versioned = keys::Versioned { revision: object.version, record };
-                changed.keys |= Arc::make_mut(&mut self.keys).take(versioned);
+                changed.keys |= Arc::make_mut(&mut self.keys).merge(versioned);
             }
         }
         changed
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -197,10 +197,10 @@
 ///
 /// # Errors
 /// The first mistake, with line and column.
-pub fn parse<T: Validate>(text: &str) -> Result<T, jsonc::Mistake> {
+pub fn parse<T: Validate>(text: &str) -> Result<T, jsonc::Error> {
     let document = jsonc::Document::parse(text)?;
     let settings: T = document.read()?;
-    settings.validate().map_err(|(path, message)| document.mistake(&path, message))?;
+    settings.validate().map_err(|(path, message)| document.error_at(&path, message))?;
     Ok(settings)
 }
 
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -117,7 +117,7 @@
         }
         self.config_version.set(active_config.version);
         let service = active_config.model.service(&self.service);
-        let text = service.map(|key| &active_config.model.service_at(key).text);
+        let text = service.map(|key| &active_config.model.service_at(key).spec);
         self.slots.set(text.map_or(1, |text| text.slots as usize));
         let max_queue = text.map_or(0, |text| text.max_queue as usize);
         let rules = queue::ClassRule::of(&active_config.model);
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -93,7 +93,7 @@
             // Without an idempotency key only the entry that reads the answer can resume it, and only
             // from the bytes that a lost link has dropped, whose number is bounded by its credit.
             let keep_from = subscriber.reader.offset.saturating_sub(RESEND_BYTES);
-            self.answer.borrow_mut().let_go(keep_from);
+            self.answer.borrow_mut().discard_before(keep_from);
         }
     }
 
@@ -160,7 +160,7 @@
             let refusal = error::Refusal::not_run(error::Kind::IdempotencyMismatch);
             return send_refusal(outbox, stream, refusal);
         }
-        if !run.answer.borrow().reaches_back_to(submit.from_offset) {
+        if !run.answer.borrow().is_available_from(submit.from_offset) {
             let refusal = error::Refusal::unknown(error::Kind::LinkLost);
             return send_refusal(outbox, stream, refusal.detail("The answer is no longer held."));
         }
@@ -206,7 +206,7 @@
         let now_ms = self.now_ms();
         let share = config.share_of(&submit.account);
         let expected_ms = endpoint.first_token_ms(class, &submit.account, share, now_ms);
-        let max_wait_ms = config.class_at(class).text.longest_wait_ms();
+        let max_wait_ms = config.class_at(class).spec.longest_wait_ms();
         if let Some(max_ms) = max_wait_ms.filter(|max_ms| u64::from(expected_ms) > *max_ms) {
             let refusal = refuse(error::Kind::TooLate);
             return Err(refusal.retry_after_ms(expected_ms.saturating_sub(max_ms as u32).max(1)));
--- a/tests/properties/spread.rs
+++ b/tests/properties/spread.rs
@@ -157,7 +157,7 @@
     fn reordered_grants_and_withdrawals_end_as_in_the_store(order in Just((1..40_u64).collect::<Vec<_>>()).prop_shuffle()) {
         let mut table = Table::default();
         for revision in order {
-            table.take(key(revision));
+            table.merge(key(revision));
         }
         for id in 0..7 {
             let last = (1..40_u64).rev().find(|revision| revision % 7 == id).expect("each occurs");
