--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: object API with versions, conditional writes and watches; endpoint interface by
-//! zone; usage interface; instance list with a lag. It can be told to fail.
+//! The platform: an object API with versions, conditional writes and watches, an endpoint interface per
+//! zone, a usage interface, and an instance list that lags. Tests inject faults through `/control/faults`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
 pub struct Options {
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// How long the instance list lags
+    /// Delay in milliseconds before a change shows in the instance list
     #[arg(long, default_value_t = 1000)]
     lag_ms: u64,
-    /// Orders with a fencing number older than the newest seen are refused
+    /// Refuse orders whose fencing token is older than the newest one seen
     #[arg(long)]
     checks_fence: bool,
 }
 
-/// How the platform is told to fail.
+/// The faults to inject.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct Faults {
-    /// All calls of the object API answer 503.
+    /// All calls but those to `/control` and `/record` are answered with 503.
     down: bool,
-    /// All calls hang for this long before they are served.
+    /// Delay before such a call is served.
     delay_ms: u64,
-    /// This many next writes take effect and get no proper answer.
+    /// Number of subsequent writes that take effect but are answered with 504.
     lose_answers: u32,
-    /// Reads and watches show the objects as of this revision; zero: as they are.
+    /// Reads, lists and watches show the objects as of this revision; 0 shows the current ones.
     read_as_of: u64,
 }
 
@@ -50,11 +50,14 @@
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
+    /// Versions of each object, oldest first; a deletion is a version without a value.
     objects: BTreeMap<String, Vec<(u64, Option<String>)>>,
     faults: Faults,
     counts: Counts,
+    /// Instance lists with the time and revision of their change, oldest first; each is shown after the lag.
     instances: VecDeque<(Instant, u64, BTreeMap<String, String>)>,
-    instances_now: BTreeMap<String, String>,
+    /// The instance list without the lag.
+    current_instances: BTreeMap<String, String>,
     instances_revision: u64,
     zones: BTreeMap<String, Zone>,
     reports: Vec<serde_json::Value>,
@@ -64,8 +67,10 @@
 struct Zone {
     newest_epoch: u64,
     orders: Vec<serde_json::Value>,
+    /// Service and standing of each endpoint.
     endpoints: BTreeMap<String, (String, String)>,
-    next: u64,
+    /// Number of endpoints started by orders; their ids are numbered by it.
+    endpoints_started: u64,
 }
 
 #[derive(Clone)]
@@ -110,7 +115,8 @@
 }
 
 impl State {
-    fn at(&self, key: &str, as_of: u64) -> Option<(u64, &String)> {
+    /// The version and value of an object as of a revision; 0 means the newest.
+    fn object_at(&self, key: &str, as_of: u64) -> Option<(u64, &String)> {
         let versions = self.objects.get(key)?;
         let seen = versions.iter().rev().find(|(version, _)| as_of == 0 || *version <= as_of)?;
         seen.1.as_ref().map(|value| (seen.0, value))
@@ -123,7 +129,7 @@
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .filter_map(|(key, _)| {
-                let (version, value) = self.at(key, as_of)?;
+                let (version, value) = self.object_at(key, as_of)?;
                 (version > after).then(|| Object {
                     key: key.as_str().into(),
                     version,
@@ -135,8 +141,10 @@
         Listing { revision, objects }
     }
 
+    /// Writes or deletes an object if its version is `if_version` (0: it does not exist). Returns the new
+    /// version, or the current one on a conflict.
     fn write(&mut self, key: &str, value: Option<String>, if_version: u64) -> Result<u64, u64> {
-        let current = self.at(key, 0).map_or(0, |(version, _)| version);
+        let current = self.object_at(key, 0).map_or(0, |(version, _)| version);
         if current != if_version {
             return Err(current);
         }
@@ -155,7 +163,7 @@
         self.state.lock().expect("no holder of this lock panics")
     }
 
-    /// Waits or refuses as told; the answer to give instead, if any.
+    /// Applies the injected delay and outage. Returns the answer to send if the call must not be served.
     async fn admit(&self) -> Option<HttpResponse> {
         let faults = self.lock().faults;
         if faults.delay_ms > 0 {
@@ -169,7 +177,7 @@
         let mut state = self.lock();
         if state.faults.lose_answers > 0 && outcome.is_ok() {
             state.faults.lose_answers -= 1;
-            // As from a gateway that lost its upstream: the write stands, the answer does not come.
+            // Like a gateway that lost its upstream: the write took effect, but its outcome is not reported.
             return HttpResponse::GatewayTimeout().finish();
         }
         match outcome {
@@ -179,27 +187,27 @@
     }
 }
 
-type App_ = web::types::State<Shared>;
+type SharedState = web::types::State<Shared>;
 
-fn key_of(request: &HttpRequest) -> String {
+fn object_key(request: &HttpRequest) -> String {
     request.path().trim_start_matches("/objects/").to_owned()
 }
 
-fn query<T: std::str::FromStr>(request: &HttpRequest, name: &str) -> Option<T> {
+fn query_value<T: std::str::FromStr>(request: &HttpRequest, name: &str) -> Option<T> {
     let query = request.uri().query()?;
     let pair =
         query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name));
     pair?.1.parse().ok()
 }
 
-async fn get(request: HttpRequest, shared: App_) -> HttpResponse {
+async fn get(request: HttpRequest, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
     let mut state = shared.lock();
     state.counts.reads += 1;
-    let key = key_of(&request);
-    match state.at(&key, state.faults.read_as_of) {
+    let key = object_key(&request);
+    match state.object_at(&key, state.faults.read_as_of) {
         Some((version, value)) => {
             HttpResponse::Ok().json(&json!({"key": key, "version": version, "value": value}))
         }
@@ -207,46 +215,46 @@
     }
 }
 
-async fn put(request: HttpRequest, body: String, shared: App_) -> HttpResponse {
+async fn put(request: HttpRequest, body: String, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
-    let if_version = query(&request, "if_version").unwrap_or(0);
+    let if_version = query_value(&request, "if_version").unwrap_or(0);
     let outcome = {
         let mut state = shared.lock();
         state.counts.writes += 1;
-        state.write(&key_of(&request), Some(body), if_version)
+        state.write(&object_key(&request), Some(body), if_version)
     };
     shared.answer_write(outcome)
 }
 
-async fn delete(request: HttpRequest, shared: App_) -> HttpResponse {
+async fn delete(request: HttpRequest, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
-    let if_version = query(&request, "if_version").unwrap_or(0);
+    let if_version = query_value(&request, "if_version").unwrap_or(0);
     let outcome = {
         let mut state = shared.lock();
         state.counts.writes += 1;
-        state.write(&key_of(&request), None, if_version)
+        state.write(&object_key(&request), None, if_version)
     };
     shared.answer_write(outcome)
 }
 
-async fn list(request: HttpRequest, shared: App_) -> HttpResponse {
+async fn list(request: HttpRequest, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
     let mut state = shared.lock();
     state.counts.lists += 1;
-    let prefix: String = query(&request, "prefix").unwrap_or_default();
+    let prefix: String = query_value(&request, "prefix").unwrap_or_default();
     HttpResponse::Ok().json(&state.listing(&prefix, 0))
 }
 
-async fn watch(request: HttpRequest, shared: App_) -> HttpResponse {
-    let prefix: String = query(&request, "prefix").unwrap_or_default();
-    let after = query(&request, "after").unwrap_or(0);
-    let wait = Duration::from_millis(query(&request, "wait_ms").unwrap_or(1000));
+async fn watch(request: HttpRequest, shared: SharedState) -> HttpResponse {
+    let prefix: String = query_value(&request, "prefix").unwrap_or_default();
+    let after = query_value(&request, "after").unwrap_or(0);
+    let wait = Duration::from_millis(query_value(&request, "wait_ms").unwrap_or(1000));
     let end = Instant::now() + wait;
     shared.lock().counts.watches += 1;
     loop {
@@ -255,15 +263,15 @@
         }
         let changed = shared.changed.notified();
         let listing = shared.lock().listing(&prefix, after);
-        let left = end.saturating_duration_since(Instant::now());
-        if !listing.objects.is_empty() || left.is_zero() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        if !listing.objects.is_empty() || remaining.is_zero() {
             return HttpResponse::Ok().json(&listing);
         }
-        let _ = tokio::time::timeout(left.min(Duration::from_millis(200)), changed).await;
+        let _ = tokio::time::timeout(remaining.min(Duration::from_millis(200)), changed).await;
     }
 }
 
-async fn instances(shared: App_) -> HttpResponse {
+async fn instances(shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
@@ -285,23 +293,23 @@
 #[derive(Deserialize)]
 struct SetInstance {
     id: String,
-    /// Absent: it is taken off the list.
+    /// If absent, the instance is removed from the list.
     standing: Option<String>,
 }
 
-async fn set_instance(set: web::types::Json<SetInstance>, shared: App_) -> HttpResponse {
+async fn set_instance(set: web::types::Json<SetInstance>, shared: SharedState) -> HttpResponse {
     let mut state = shared.lock();
     match &set.standing {
-        Some(standing) => state.instances_now.insert(set.id.clone(), standing.clone()),
-        None => state.instances_now.remove(&set.id),
+        Some(standing) => state.current_instances.insert(set.id.clone(), standing.clone()),
+        None => state.current_instances.remove(&set.id),
     };
     state.instances_revision += 1;
-    let entry = (Instant::now(), state.instances_revision, state.instances_now.clone());
+    let entry = (Instant::now(), state.instances_revision, state.current_instances.clone());
     state.instances.push_back(entry);
     HttpResponse::Ok().finish()
 }
 
-async fn endpoints(zone: web::types::Path<String>, shared: App_) -> HttpResponse {
+async fn endpoints(zone: web::types::Path<String>, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
@@ -328,7 +336,7 @@
 async fn set_endpoint(
     zone: web::types::Path<String>,
     set: web::types::Json<SetEndpoint>,
-    shared: App_,
+    shared: SharedState,
 ) -> HttpResponse {
     let mut state = shared.lock();
     let zone = state.zones.entry(zone.into_inner()).or_default();
@@ -339,7 +347,7 @@
 async fn order(
     zone: web::types::Path<String>,
     order: web::types::Json<serde_json::Value>,
-    shared: App_,
+    shared: SharedState,
 ) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
@@ -349,23 +357,24 @@
     let epoch = order["epoch"].as_u64().unwrap_or(0);
     let stale = epoch < zone.newest_epoch;
     let accepted = !(shared.checks_fence && stale);
-    let known = zone.orders.iter().any(|known| known["order"]["nonce"] == order["nonce"]);
+    let repeated = zone.orders.iter().any(|earlier| earlier["order"]["nonce"] == order["nonce"]);
     zone.orders.push(json!({"order": &*order, "accepted": accepted, "stale": stale}));
     if !accepted {
         return HttpResponse::Conflict().finish();
     }
     zone.newest_epoch = zone.newest_epoch.max(epoch);
-    if !known {
-        obey(zone, &order);
+    if !repeated {
+        apply_order(zone, &order);
     }
     HttpResponse::Ok().json(&json!({}))
 }
 
-fn obey(zone: &mut Zone, order: &serde_json::Value) {
+/// Carries out an accepted order: starts an endpoint or marks one as leaving.
+fn apply_order(zone: &mut Zone, order: &serde_json::Value) {
     match order["action"].as_str() {
         Some("start") => {
-            zone.next += 1;
-            let id = format!("ordered-{}", zone.next);
+            zone.endpoints_started += 1;
+            let id = format!("ordered-{}", zone.endpoints_started);
             let service = order["service"].as_str().unwrap_or_default().to_owned();
             zone.endpoints.insert(id, (service, "starting".to_owned()));
         }
@@ -379,7 +388,7 @@
     }
 }
 
-async fn report(body: web::types::Json<serde_json::Value>, shared: App_) -> HttpResponse {
+async fn report(body: web::types::Json<serde_json::Value>, shared: SharedState) -> HttpResponse {
     if let Some(answer) = shared.admit().await {
         return answer;
     }
@@ -388,17 +397,17 @@
     HttpResponse::Ok().json(&json!({}))
 }
 
-async fn set_faults(faults: web::types::Json<Faults>, shared: App_) -> HttpResponse {
+async fn set_faults(faults: web::types::Json<Faults>, shared: SharedState) -> HttpResponse {
     shared.lock().faults = *faults;
     HttpResponse::Ok().finish()
 }
 
-async fn record(shared: App_) -> HttpResponse {
+async fn record(shared: SharedState) -> HttpResponse {
     let state = shared.lock();
     let orders: BTreeMap<_, _> =
         state.zones.iter().map(|(name, zone)| (name, &zone.orders)).collect();
-    let stored = state.objects.values().flatten().filter_map(|(_, value)| value.as_deref());
-    let key_seen = stored.into_iter().any(serve::holds_key);
+    let stored_values = state.objects.values().flatten().filter_map(|(_, value)| value.as_deref());
+    let key_seen = stored_values.into_iter().any(serve::contains_key);
     HttpResponse::Ok().json(&json!({
         "revision": state.revision,
         "counts": state.counts,
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -1,11 +1,11 @@
-//! What the stand-ins' HTTP servers have in common.
+//! Helpers shared by the HTTP servers of the stand-ins.
 
 use std::net::{SocketAddr, TcpListener};
 
 use ntex::web::HttpRequest;
 
-/// Binds a listener and prints its address as `listening IP:PORT`, so that a port chosen by the
-/// system is learnt from the output.
+/// Binds a listener and prints its address as `listening IP:PORT`, so that scripts and tests can read
+/// a port that the operating system chose.
 pub fn bind(addr: SocketAddr) -> anyhow::Result<TcpListener> {
     use std::io::Write;
     let listener = TcpListener::bind(addr)?;
@@ -14,20 +14,22 @@
     Ok(listener)
 }
 
-/// Whether a text holds anything that looks like a caller's key.
+/// Whether a text contains the prefix of client keys.
 #[must_use]
-pub fn holds_key(text: &str) -> bool {
+pub fn contains_key(text: &str) -> bool {
     text.contains("bw_")
 }
 
-/// Whether anything of a request holds what looks like a caller's key.
+/// Whether the body, URI or any header of a request contains the prefix of client keys.
 #[must_use]
-pub fn carries_key(request: &HttpRequest, body: &str) -> bool {
+pub fn request_contains_key(request: &HttpRequest, body: &str) -> bool {
     let headers = request.headers().iter().filter_map(|(_, value)| value.to_str().ok());
-    holds_key(body) || holds_key(&request.uri().to_string()) || headers.into_iter().any(holds_key)
+    contains_key(body)
+        || contains_key(&request.uri().to_string())
+        || headers.into_iter().any(contains_key)
 }
 
-/// A header's text.
+/// The value of a header, if it is present and visible ASCII.
 #[must_use]
 pub fn header<'a>(request: &'a HttpRequest, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,5 @@
-//! A plain service that counts how often each call ran, by idempotency key.
+//! A plain service that counts how often each call was executed, by idempotency key and by request id.
+//! `/record` shows the counts, so that tests can detect calls that ran twice.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,17 +15,18 @@
 pub struct Options {
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// How long a call takes
+    /// Duration of a call in milliseconds
     #[arg(long, default_value_t = 5)]
     call_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Record {
-    /// Runs by idempotency key.
+    /// Executions by idempotency key.
     keys: HashMap<String, u32>,
-    /// Runs by request id.
+    /// Executions by request id.
     runs: HashMap<String, u32>,
+    /// Whether any call contained a client key.
     key_seen: bool,
     calls: u64,
 }
@@ -70,7 +72,7 @@
     let number = {
         let mut record = shared.record.lock().expect("no holder of this lock panics");
         record.calls += 1;
-        record.key_seen |= serve::carries_key(&request, &body);
+        record.key_seen |= serve::request_contains_key(&request, &body);
         if let Some(id) = serve::header(&request, "x-request-id") {
             *record.runs.entry(id.to_owned()).or_default() += 1;
         }
