--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers: an open loop of requests at random times, each answer checked token by token.
+//! An open-loop load generator with Poisson arrivals. It checks every answer token by token and reports
+//! latencies, refusals and attainment by class.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,45 +19,47 @@
 
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
-    /// Entries, as `http://IP:PORT`; requests go round them
+    /// Entries, as `http://IP:PORT`; requests are sent to them round robin
     #[arg(long, required = true, value_delimiter = ',')]
     target: Vec<String>,
-    /// Keys, one a client account; requests choose at random
+    /// Keys, one per client account; each request uses a random one
     #[arg(long, value_delimiter = ',')]
     key: Vec<String>,
     #[arg(long)]
     plan: PathBuf,
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Requests a second on average
+    /// Average requests per second
     #[arg(long, default_value_t = 50.0)]
     rate: f64,
-    /// From half of the time on, for a quarter of it, the rate is multiplied by this
+    /// Factor on the rate during the third quarter of the duration
     #[arg(long, default_value_t = 1.0)]
     burst: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// One JSON line a class instead of the table
+    /// Print one JSON line per class instead of the table
     #[arg(long)]
     json: bool,
 }
 
-/// What came of the requests of one class.
+/// Results of the requests of one class.
 #[derive(Debug)]
-struct Tally {
+struct ClassStats {
     sent: u64,
     whole: u64,
     wrong: u64,
     refused: BTreeMap<String, u64>,
+    /// Complete answers whose first token met the target of their plan line.
     in_time: u64,
     first_us: Histogram<u64>,
     gap_us: Histogram<u64>,
+    /// Tokens of the answers counted in `in_time`.
     goodput_tokens: u64,
 }
 
-impl Default for Tally {
+impl Default for ClassStats {
     fn default() -> Self {
-        let histogram = || Histogram::new(3).expect("three digits are allowed");
+        let histogram = || Histogram::new(3).expect("3 significant digits are valid");
         Self {
             sent: 0,
             whole: 0,
@@ -70,7 +73,7 @@
     }
 }
 
-/// What came of one request.
+/// The result of one request.
 struct Outcome {
     end: End,
     first: Option<Duration>,
@@ -79,13 +82,15 @@
 }
 
 enum End {
+    /// The answer is complete and correct.
     Whole,
-    /// The answer is not what this request must get.
+    /// The answer is missing, incomplete or differs from the expected one; the text says how.
     Wrong(String),
+    /// The request was refused; the text is the error code or, without one, the HTTP status.
     Refused(String),
 }
 
-type Tallies = Rc<RefCell<BTreeMap<String, Tally>>>;
+type StatsByClass = Rc<RefCell<BTreeMap<String, ClassStats>>>;
 
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let plan = plan::load(&options.plan)?;
@@ -97,7 +102,7 @@
         .map_err(|error| anyhow::anyhow!("{error:?}"))?;
     let mut random = StdRng::seed_from_u64(options.seed);
     eprintln!("load: seed {}", options.seed);
-    let tallies: Tallies = Rc::default();
+    let stats_by_class: StatsByClass = Rc::default();
     let begin = Instant::now();
     let mut at_s = 0.0;
     let mut tasks = Vec::new();
@@ -117,17 +122,17 @@
         let prompt = prompt(options.seed, number, &line);
         let wait = Duration::from_secs_f64(at_s).saturating_sub(begin.elapsed());
         tokio::time::sleep(wait).await;
-        let (http, tallies) = (http.clone(), Rc::clone(&tallies));
+        let (http, stats_by_class) = (http.clone(), Rc::clone(&stats_by_class));
         tasks.push(tokio::task::spawn_local(async move {
-            tallies.borrow_mut().entry(line.class.clone()).or_default().sent += 1;
+            stats_by_class.borrow_mut().entry(line.class.clone()).or_default().sent += 1;
             let outcome = send(&http, &target, key.as_deref(), &line, &prompt).await;
-            note(&tallies, &line, &outcome);
+            record_outcome(&stats_by_class, &line, &outcome);
         }));
     }
     for task in tasks {
         task.await?;
     }
-    print(&options, &tallies.borrow());
+    print_report(&options, &stats_by_class.borrow());
     Ok(())
 }
 
@@ -143,7 +148,7 @@
     &plan.lines[plan.lines.len() - 1]
 }
 
-/// A prompt that no other request has.
+/// A prompt that is unique to the request, so that its answer is unique as well.
 fn prompt(seed: u64, number: u64, line: &Line) -> String {
     let chars = match line.kind {
         Kind::Chat { prompt_chars, .. } => prompt_chars,
@@ -166,7 +171,7 @@
     let mut outcome = Outcome { end: End::Whole, first: None, gaps: Vec::new(), tokens: 0 };
     outcome.end = match exchange(http, target, key, line, prompt, &mut outcome).await {
         Ok(end) => end,
-        Err(error) => End::Wrong(format!("no answer: {error}")),
+        Err(error) => End::Wrong(format!("request failed: {error}")),
     };
     outcome
 }
@@ -202,6 +207,7 @@
     }
 }
 
+/// The prompt in a form that fits URLs and headers. It identifies a request to a plain service.
 fn mark(prompt: &str) -> String {
     prompt.trim().replace(' ', "-")
 }
@@ -231,11 +237,11 @@
     let body = response.body().limit(8 << 20).await.map_err(|error| anyhow::anyhow!("{error}"))?;
     outcome.first = Some(begin.elapsed());
     let body: serde_json::Value = serde_json::from_slice(&body)?;
-    Ok(check_whole(line, prompt, &body, outcome))
+    Ok(check_answer(line, prompt, &body, outcome))
 }
 
-fn check_whole(line: &Line, prompt: &str, body: &serde_json::Value, outcome: &mut Outcome) -> End {
-    let right = match &line.kind {
+fn check_answer(line: &Line, prompt: &str, body: &serde_json::Value, outcome: &mut Outcome) -> End {
+    let matches = match &line.kind {
         Kind::Chat { max_tokens, .. } => {
             outcome.tokens = *max_tokens;
             let content = body["choices"][0]["message"]["content"].as_str();
@@ -248,7 +254,7 @@
             body["body"].as_str() == Some(&json!({"mark": mark(prompt)}).to_string())
         }
     };
-    if right { End::Whole } else { End::Wrong(format!("another answer: {body}")) }
+    if matches { End::Whole } else { End::Wrong(format!("unexpected answer: {body}")) }
 }
 
 async fn read_stream(
@@ -273,7 +279,10 @@
                 if outcome.tokens == max_tokens {
                     return Ok(End::Whole);
                 }
-                return Ok(End::Wrong(format!("{} of {max_tokens} tokens", outcome.tokens)));
+                return Ok(End::Wrong(format!(
+                    "stream ended after {} of {max_tokens} tokens",
+                    outcome.tokens
+                )));
             }
             let now = Instant::now();
             match outcome.first {
@@ -284,48 +293,52 @@
             let chunk: serde_json::Value = serde_json::from_str(data)?;
             let token = chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default();
             if token != tokens::token(prompt, outcome.tokens) {
-                return Ok(End::Wrong(format!("token {} is {token}", outcome.tokens)));
+                return Ok(End::Wrong(format!(
+                    "unexpected token {} of the answer: {token}",
+                    outcome.tokens
+                )));
             }
             outcome.tokens += 1;
         }
     }
-    Ok(End::Wrong("the stream ended without its end".to_owned()))
+    Ok(End::Wrong("stream closed without [DONE]".to_owned()))
 }
 
+/// The error code of an error event that ended a stream, marked as `midway:`.
 fn error_code(event: &str) -> String {
     let data = event.split("data: ").nth(1).unwrap_or_default();
     let body: serde_json::Value = serde_json::from_str(data).unwrap_or_default();
     format!("midway:{}", body["error"]["code"].as_str().unwrap_or("?"))
 }
 
-fn note(tallies: &Tallies, line: &Line, outcome: &Outcome) {
-    let mut tallies = tallies.borrow_mut();
-    let tally = tallies.entry(line.class.clone()).or_default();
+fn record_outcome(stats_by_class: &StatsByClass, line: &Line, outcome: &Outcome) {
+    let mut stats_by_class = stats_by_class.borrow_mut();
+    let stats = stats_by_class.entry(line.class.clone()).or_default();
     if let Some(first) = outcome.first {
-        let _ = tally.first_us.record(first.as_micros() as u64);
+        let _ = stats.first_us.record(first.as_micros() as u64);
     }
     for gap in &outcome.gaps {
-        let _ = tally.gap_us.record(gap.as_micros() as u64);
+        let _ = stats.gap_us.record(gap.as_micros() as u64);
     }
     match &outcome.end {
         End::Whole => {
-            tally.whole += 1;
+            stats.whole += 1;
             let in_time =
                 outcome.first.is_some_and(|first| first.as_millis() as u64 <= line.target_ms);
             if in_time {
-                tally.in_time += 1;
-                tally.goodput_tokens += u64::from(outcome.tokens);
+                stats.in_time += 1;
+                stats.goodput_tokens += u64::from(outcome.tokens);
             }
         }
-        End::Wrong(why) => {
-            tally.wrong += 1;
-            eprintln!("load: {}: {why}", line.class);
+        End::Wrong(reason) => {
+            stats.wrong += 1;
+            eprintln!("load: {}: {reason}", line.class);
         }
-        End::Refused(code) => *tally.refused.entry(code.clone()).or_default() += 1,
+        End::Refused(code) => *stats.refused.entry(code.clone()).or_default() += 1,
     }
 }
 
-fn print(options: &Options, tallies: &BTreeMap<String, Tally>) {
+fn print_report(options: &Options, stats_by_class: &BTreeMap<String, ClassStats>) {
     let ms = |us: u64| us as f64 / 1000.0;
     if !options.json {
         println!(
@@ -343,18 +356,18 @@
         );
     }
     let (mut whole, mut sent) = (0, 0);
-    for (class, tally) in tallies {
-        let refused: u64 = tally.refused.values().sum();
-        let attainment = tally.in_time as f64 / tally.sent.max(1) as f64;
-        whole += tally.whole;
-        sent += tally.sent;
-        let (first, gap) = (&tally.first_us, &tally.gap_us);
+    for (class, stats) in stats_by_class {
+        let refused: u64 = stats.refused.values().sum();
+        let attainment = stats.in_time as f64 / stats.sent.max(1) as f64;
+        whole += stats.whole;
+        sent += stats.sent;
+        let (first, gap) = (&stats.first_us, &stats.gap_us);
         if options.json {
             println!(
                 "{}",
-                json!({"class": class, "sent": tally.sent, "whole": tally.whole,
-                "wrong": tally.wrong, "refused": tally.refused, "attainment": attainment,
-                "goodput_tokens": tally.goodput_tokens,
+                json!({"class": class, "sent": stats.sent, "whole": stats.whole,
+                "wrong": stats.wrong, "refused": stats.refused, "attainment": attainment,
+                "goodput_tokens": stats.goodput_tokens,
                 "first_token_p50_ms": ms(first.value_at_quantile(0.5)),
                 "first_token_p95_ms": ms(first.value_at_quantile(0.95)),
                 "gap_p50_ms": ms(gap.value_at_quantile(0.5)),
@@ -365,9 +378,9 @@
         println!(
             "{:<20} {:>6} {:>8} {:>6} {:>8} {:>6.1} ms {:>6.1} ms {:>6.2} ms {:>6.2} ms {:>10.3}",
             class,
-            tally.sent,
-            tally.whole + tally.wrong,
-            tally.whole,
+            stats.sent,
+            stats.whole + stats.wrong,
+            stats.whole,
             refused,
             ms(first.value_at_quantile(0.5)),
             ms(first.value_at_quantile(0.95)),
@@ -375,7 +388,7 @@
             ms(gap.value_at_quantile(0.95)),
             attainment
         );
-        for (code, count) in &tally.refused {
+        for (code, count) in &stats.refused {
             println!("  refused {code}: {count}");
         }
     }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what briarwinch meets: the platform, model engines, plain services, callers.
+//! Stand-ins for the systems around briarwinch: the platform, model engines, plain services and callers.
 //!
-//! For tests and the demo only; not shipped.
+//! Used by tests and the demo only; not part of a release.
 
 mod engine;
 mod load;
@@ -14,28 +14,28 @@
 
 #[derive(Debug, Parser)]
 #[command(name = "briarwinch-standin", version)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     part: Part,
 }
 
 #[derive(Debug, Subcommand)]
 enum Part {
-    /// Object API, endpoint interface, usage interface, instance list
+    /// Platform: object API, endpoint interface, usage interface, instance list
     Platform(platform::Options),
-    /// A model engine that streams tokens at a set rate
+    /// Model engine that streams tokens at a fixed rate
     Engine(engine::Options),
-    /// A plain service that counts how often each call ran
+    /// Plain service that counts how often each call was executed
     Service(service::Options),
-    /// Callers: open-loop load that checks every answer
+    /// Open-loop load generator that checks every answer
     Load(load::Options),
 }
 
 fn main() -> anyhow::Result<()> {
-    let line = Line::parse();
+    let command_line = CommandLine::parse();
     let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
     runner.block_on(async move {
-        match line.part {
+        match command_line.part {
             Part::Platform(options) => platform::run(options).await,
             Part::Engine(options) => engine::run(options).await,
             Part::Service(options) => service::run(options).await,
--- a/standin/src/plan.rs
+++ b/standin/src/plan.rs
@@ -1,11 +1,11 @@
-//! What load is made of: a file of lines, each with its share, class and kind of request.
+//! The load plan: a file that lists kinds of requests, each with a class and a share of the load.
 
 use std::path::Path;
 
 use anyhow::Context;
 use serde::Deserialize;
 
-/// A plan of load.
+/// The requests that make up the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
@@ -16,15 +16,16 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Line {
     pub class: String,
-    /// Weight against the other lines.
+    /// Weight relative to the other lines.
     pub share: f64,
-    /// First token in time, for the attainment.
+    /// Longest time to the first token that counts towards attainment; for an answer that is not streamed,
+    /// longest time to the complete answer.
     pub target_ms: u64,
     #[serde(flatten)]
     pub kind: Kind,
 }
 
-/// What is sent.
+/// The request that is sent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Kind {
@@ -33,7 +34,7 @@
     Payment { service: String },
 }
 
-/// Reads a plan.
+/// Reads a plan from a JSONC file.
 pub fn load(file: &Path) -> anyhow::Result<Plan> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let document = briarwinch::jsonc::Document::parse(&text)?;
