--- a/standin/tests/standin.rs
+++ b/standin/tests/standin.rs
@@ -1,12 +1,13 @@
-//! The stand-in program starts; this also makes `cargo test` build it for the other tests.
+//! Checks that the stand-in program starts. This test also makes `cargo test` build the program, which the
+//! other tests run.
 
 use std::process::Command;
 
 #[test]
-fn it_tells_its_parts() {
+fn help_lists_all_subcommands() {
     let output = Command::new(env!("CARGO_BIN_EXE_briarwinch-standin")).arg("--help").output();
-    let text = String::from_utf8(output.expect("it starts").stdout).expect("text");
-    for part in ["platform", "engine", "service", "load"] {
-        assert!(text.contains(part), "{text}");
+    let help = String::from_utf8(output.expect("program starts").stdout).expect("help is UTF-8");
+    for subcommand in ["platform", "engine", "service", "load"] {
+        assert!(help.contains(subcommand), "{help}");
     }
 }
