--- a/benches/policy/arrivals.rs
+++ b/benches/policy/arrivals.rs
@@ -1,4 +1,4 @@
-//! The requests of a scenario, drawn from a seed: the same for all policies.
+//! Generates the requests of a scenario from a seed, so that all policies get the same requests.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -6,36 +6,41 @@
 use crate::engine;
 use crate::scenario::{Event, Scenario};
 
-fn mean_output(scenario: &Scenario) -> f64 {
+/// Mean output tokens per request.
+fn mean_output_tokens(scenario: &Scenario) -> f64 {
     scenario.classes.iter().map(|class| class.share * class.output_tokens).sum()
 }
 
 pub const ENTRIES: usize = 3;
 
-/// What became of one request.
+/// A request and its result.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub class: usize,
     pub account: usize,
     pub arrived_ms: u64,
-    pub output: u64,
-    pub first_ms: Option<u64>,
-    pub whole: bool,
+    /// Output tokens of the complete answer.
+    pub output_tokens: u64,
+    pub first_token_ms: Option<u64>,
+    pub completed: bool,
     pub refused: bool,
+    /// Tokens generated before the engine failed.
     pub wasted_tokens: u64,
     pub prompt_tokens: u32,
-    pub head: u64,
+    /// Identifies the prompt prefix, for the prefix cache.
+    pub prefix: u64,
     pub entry: usize,
-    pub tries: u32,
+    pub attempts: u32,
+    /// Endpoints that the request was sent to.
     pub tried: Vec<usize>,
 }
 
-/// Requests a second at a load of one.
+/// Requests per second that use the whole capacity.
 fn capacity_per_s(scenario: &Scenario) -> f64 {
-    scenario.endpoints as f64 * engine::capacity_tokens_per_s() / mean_output(scenario)
+    scenario.endpoints as f64 * engine::capacity_tokens_per_s() / mean_output_tokens(scenario)
 }
 
-/// Demand over the usual one at a time.
+/// Demand at a time, relative to the normal demand.
 fn demand(scenario: &Scenario, at_s: f64) -> f64 {
     match scenario.event {
         Event::Morning => {
@@ -47,11 +52,13 @@
     }
 }
 
-/// All requests of a scenario, in the order of their arrival.
+/// Generates all requests of a scenario, sorted by arrival time.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Request> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
-    let usual_per_s = capacity_per_s(scenario) * scenario.load;
+    let normal_per_s = capacity_per_s(scenario) * scenario.load;
+    // Poisson arrivals by thinning: arrivals are drawn at 1.25 times the normal rate, which is the peak
+    // demand, and kept with a probability in proportion to the demand.
     let mut stream =
         |class: Option<usize>, account: Option<usize>, per_s: f64, from_s: f64, to_s: f64| {
             let mut at_s = from_s;
@@ -65,7 +72,7 @@
                 }
                 let class = class.unwrap_or_else(|| pick_class(scenario, &mut random));
                 let account = account.unwrap_or_else(|| {
-                    // A few large accounts, as today.
+                    // Skews the load towards a few large accounts, as in the present deployments.
                     let point: f64 = random.random();
                     ((point * point) * scenario.accounts as f64) as usize
                 });
@@ -73,20 +80,20 @@
             }
         };
     let end_s = scenario.seconds as f64;
-    stream(None, None, usual_per_s * 1.25, 0.0, end_s);
-    let named = |name: &str| scenario.classes.iter().position(|class| class.name == name);
-    let of_class = |class: Option<usize>, capacity: f64| {
+    stream(None, None, normal_per_s * 1.25, 0.0, end_s);
+    let class_index = |name: &str| scenario.classes.iter().position(|class| class.name == name);
+    let class_rate_per_s = |class: Option<usize>, capacity: f64| {
         let output = class.map_or(1.0, |class| scenario.classes[class].output_tokens);
         scenario.endpoints as f64 * engine::capacity_tokens_per_s() / output * capacity * 1.25
     };
     match scenario.event {
         Event::Burst { class, capacity } => {
-            let class = named(class);
-            stream(class, None, of_class(class, capacity), 100.0, 200.0);
+            let class = class_index(class);
+            stream(class, None, class_rate_per_s(class, capacity), 100.0, 200.0);
         }
         Event::Flood { class, capacity } => {
-            let class = named(class);
-            stream(class, Some(0), of_class(class, capacity), 50.0, end_s);
+            let class = class_index(class);
+            stream(class, Some(0), class_rate_per_s(class, capacity), 50.0, end_s);
         }
         _ => {}
     }
@@ -113,35 +120,36 @@
     random: &mut StdRng,
 ) -> Request {
     let of = &scenario.classes[class];
-    let long = match scenario.event {
+    let length_factor = match scenario.event {
         Event::LongOutputs { times } if at_s >= 100.0 => times,
         _ => 1.0,
     };
-    let output = -(1.0 - random.random::<f64>()).ln() * of.output_tokens * long;
+    let output = -(1.0 - random.random::<f64>()).ln() * of.output_tokens * length_factor;
     Request {
         class,
         account,
         arrived_ms: (at_s * 1000.0) as u64,
-        output: (output as u64).clamp(1, 8_000),
-        first_ms: None,
-        whole: false,
+        output_tokens: (output as u64).clamp(1, 8_000),
+        first_token_ms: None,
+        completed: false,
         refused: false,
         wasted_tokens: 0,
         prompt_tokens: of.prompt_tokens,
-        head: (account * 16 + class * 4) as u64 + random.random_range(0..4),
+        prefix: (account * 16 + class * 4) as u64 + random.random_range(0..4),
         entry: random.random_range(0..ENTRIES),
-        tries: 0,
+        attempts: 0,
         tried: Vec::new(),
     }
 }
 
-/// Endpoint time for the offered work of each ten seconds at four fifths of the slots.
+/// Returns the endpoint time that the offered work needs if the number of endpoints is set every 10 s and
+/// 80 % of their capacity is used.
 pub fn least_endpoint_ms(scenario: &Scenario, requests: &[Request]) -> u64 {
     const STEP_MS: u64 = 10_000;
     let mut work = vec![0.0; (scenario.seconds * 1000 / STEP_MS + 1) as usize];
     for request in requests {
-        work[(request.arrived_ms / STEP_MS) as usize] += request.output as f64;
+        work[(request.arrived_ms / STEP_MS) as usize] += request.output_tokens as f64;
     }
-    let full = engine::capacity_tokens_per_s() * STEP_MS as f64 / 1000.0 * 0.8;
-    work.iter().map(|tokens| (tokens / full).ceil().max(1.0) as u64 * STEP_MS).sum()
+    let usable_tokens = engine::capacity_tokens_per_s() * STEP_MS as f64 / 1000.0 * 0.8;
+    work.iter().map(|tokens| (tokens / usable_tokens).ceil().max(1.0) as u64 * STEP_MS).sum()
 }
--- a/benches/policy/main.rs
+++ b/benches/policy/main.rs
@@ -1,7 +1,7 @@
-//! Measures the decisions under load: the router's own queue, placement, admission and scaling
-//! code before small fake engines, on a virtual clock, against baselines on the same arrivals.
+//! Simulates the router's policies under load: the router's own queue, placement, admission and scaling code
+//! in front of small simulated engines, on a virtual clock, compared with baselines on the same arrivals.
 //!
-//! `cargo bench --bench policy` prints one JSON line a scenario, policy and class, then a table.
+//! `cargo bench --bench policy` prints one JSON line per scenario, policy and class, then a table.
 //! `cargo bench --bench policy -- SCENARIO` runs one scenario.
 
 mod arrivals;
@@ -15,12 +15,12 @@
 const SEED: u64 = 20_261_203;
 
 fn main() {
-    let wanted: Vec<String> =
-        std::env::args().skip(1).filter(|word| !word.starts_with("--")).collect();
+    let selected: Vec<String> =
+        std::env::args().skip(1).filter(|argument| !argument.starts_with("--")).collect();
     println!("seed {SEED}");
     let mut rows = Vec::new();
     for scenario in scenario::all() {
-        if !wanted.is_empty() && !wanted.contains(&scenario.name) {
+        if !selected.is_empty() && !selected.contains(&scenario.name) {
             continue;
         }
         for policy in policies(&scenario).iter().copied() {
@@ -29,7 +29,7 @@
         }
     }
     for row in &rows {
-        println!("{}", serde_json::to_string(row).expect("plain fields"));
+        println!("{}", serde_json::to_string(row).expect("row serializes to JSON"));
     }
     report::print_table(&rows);
 }
--- a/benches/policy/report.rs
+++ b/benches/policy/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a run by class.
+//! Computes and prints the results of a run, by class.
 
 use serde::Serialize;
 
@@ -6,26 +6,29 @@
 use crate::scenario::{Policy, Scenario};
 use crate::simulation::Outcome;
 
-/// One line of figures.
+/// Results of one class in one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     pub scenario: String,
     pub policy: &'static str,
     pub class: &'static str,
     pub sent: usize,
-    /// Part whose first token met its target and whose answer was whole.
+    /// Fraction of requests whose first token met the target and whose answer was complete.
     pub attainment: f64,
+    /// Output tokens of these requests.
     pub goodput_tokens: u64,
     pub wasted_tokens: u64,
-    /// The worst-served account's whole tokens over its max-min fair share of what all got.
+    /// Output tokens of complete answers of the worst-served account, divided by its max-min fair share of
+    /// all such tokens.
     pub worst_account_ratio: f64,
     pub endpoint_s: u64,
+    /// Endpoint time that the demand, known in advance, would have needed.
     pub least_endpoint_s: u64,
     pub first_token_p95_ms: u64,
     pub refused: usize,
 }
 
-/// Figures of a run, one row a class.
+/// Computes the results of a run, one row per class.
 pub fn rows(scenario: &Scenario, policy: Policy, outcome: &Outcome) -> Vec<Row> {
     scenario
         .classes
@@ -36,8 +39,8 @@
                 outcome.requests.iter().filter(|request| request.class == number).collect();
             let target_ms = u64::from(class.text.latency_target_ms);
             let met = |request: &&&Request| {
-                request.whole
-                    && request.first_ms.is_some_and(|at| at <= request.arrived_ms + target_ms)
+                request.completed
+                    && request.first_token_ms.is_some_and(|at| at <= request.arrived_ms + target_ms)
             };
             let attained: Vec<&&Request> = requests.iter().filter(met).collect();
             Row {
@@ -46,7 +49,7 @@
                 class: class.name,
                 sent: requests.len(),
                 attainment: attained.len() as f64 / requests.len().max(1) as f64,
-                goodput_tokens: attained.iter().map(|request| request.output).sum(),
+                goodput_tokens: attained.iter().map(|request| request.output_tokens).sum(),
                 wasted_tokens: requests.iter().map(|request| request.wasted_tokens).sum(),
                 worst_account_ratio: worst_account_ratio(scenario.accounts, &requests),
                 endpoint_s: outcome.endpoint_ms / 1000,
@@ -61,37 +64,37 @@
 fn first_token_p95_ms(requests: &[&Request]) -> u64 {
     let mut waits: Vec<u64> = requests
         .iter()
-        .filter_map(|request| Some(request.first_ms? - request.arrived_ms))
+        .filter_map(|request| Some(request.first_token_ms? - request.arrived_ms))
         .collect();
     waits.sort_unstable();
     waits.get(waits.len() * 95 / 100).copied().unwrap_or(0)
 }
 
-/// Max-min fair shares by filling: each account gets what it asks for, as long as all who ask for
-/// more get at least as much.
+/// Computes max-min fair shares by progressive filling, from the smallest demand up: each account gets its
+/// demand or an equal part of the remaining tokens, whichever is less.
 fn worst_account_ratio(accounts: usize, requests: &[&Request]) -> f64 {
     let sum = |keep: &dyn Fn(&Request) -> bool| {
         let mut tokens = vec![0.0; accounts];
         for request in requests.iter().filter(|request| keep(request)) {
-            tokens[request.account] += request.output as f64;
+            tokens[request.account] += request.output_tokens as f64;
         }
         tokens
     };
-    let asked = sum(&|_| true);
-    let got = sum(&|request| request.whole);
-    let mut order: Vec<usize> = (0..accounts).filter(|account| asked[*account] > 0.0).collect();
-    order.sort_by(|a, b| asked[*a].total_cmp(&asked[*b]));
-    let mut left: f64 = got.iter().sum();
+    let demanded = sum(&|_| true);
+    let served = sum(&|request| request.completed);
+    let mut order: Vec<usize> = (0..accounts).filter(|account| demanded[*account] > 0.0).collect();
+    order.sort_by(|a, b| demanded[*a].total_cmp(&demanded[*b]));
+    let mut remaining: f64 = served.iter().sum();
     let mut worst = 1.0_f64;
-    for (place, account) in order.iter().enumerate() {
-        let fair = asked[*account].min(left / (order.len() - place) as f64);
-        left -= fair;
-        worst = worst.min(got[*account] / fair.max(1.0));
+    for (position, account) in order.iter().enumerate() {
+        let fair = demanded[*account].min(remaining / (order.len() - position) as f64);
+        remaining -= fair;
+        worst = worst.min(served[*account] / fair.max(1.0));
     }
     worst
 }
 
-/// Prints the rows for a person.
+/// Prints the rows as a table.
 pub fn print_table(rows: &[Row]) {
     println!();
     println!(
--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -1,31 +1,32 @@
-//! The scenarios: two deployments of today's size, each under what can happen to it.
+//! The scenarios: two deployments of the present size, each under normal load, overload, failures and growth.
 
 use briarwinch::config::ClassText;
 
-/// Policies compared.
+/// The policies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The router as it is.
+    /// The router unchanged.
     Router,
-    /// The router with first come first served at the endpoint.
+    /// The router, with a first-come, first-served queue at the endpoint.
     Fcfs,
-    /// The router with strict priority and no shares at the endpoint.
+    /// The router, with strict priority and no guaranteed shares at the endpoint.
     Strict,
-    /// The router's queue; endpoints in turn.
+    /// The router's queue; endpoints are chosen round robin.
     RoundRobin,
-    /// The router's queue; the endpoint with the fewest requests of the entry's own.
+    /// The router's queue; chooses the endpoint with the fewest open requests of the same entry.
     LeastConnections,
-    /// The router's queue; the least loaded by reports that lag.
+    /// The router's queue; chooses the least loaded endpoint according to load reports that lag.
     CachedLoad,
-    /// The router's queue; every endpoint's queue seen exactly. Not to be had in practice.
+    /// The router's queue; chooses with exact knowledge of all queues. Not possible in practice.
     Exact,
-    /// Endpoints for the peak all the time.
+    /// A fixed number of endpoints, sized for the peak.
     FixedPeak,
-    /// Endpoints by a utilisation threshold.
+    /// Scaling by utilisation thresholds.
     Threshold,
 }
 
 impl Policy {
+    /// Policies compared in scenarios with a fixed number of endpoints.
     pub const ROUTING: [Self; 7] = [
         Self::Router,
         Self::Fcfs,
@@ -35,6 +36,7 @@
         Self::CachedLoad,
         Self::Exact,
     ];
+    /// Policies compared in scenarios with scaling.
     pub const SCALING: [Self; 3] = [Self::Router, Self::FixedPeak, Self::Threshold];
 
     pub fn name(self) -> &'static str {
@@ -52,57 +54,60 @@
     }
 }
 
-/// A class of requests and what its requests are like.
+/// A class and the shape of its requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: &'static str,
     pub text: ClassText,
-    /// Part of all requests.
+    /// Fraction of all requests.
     pub share: f64,
     pub prompt_tokens: u32,
+    /// Mean of the exponentially distributed output length.
     pub output_tokens: f64,
 }
 
-/// What happens.
+/// The disturbance in a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
     None,
-    /// From 100 s to 200 s this class comes at so many times all of the endpoints' capacity.
+    /// From 100 s to 200 s, this class adds a load of `capacity` times the capacity of all endpoints.
     Burst {
         class: &'static str,
         capacity: f64,
     },
-    /// One account sends so many times the whole capacity, in one class, from 50 s on.
+    /// From 50 s on, one account adds a load of `capacity` times the capacity of all endpoints in one class.
     Flood {
         class: &'static str,
         capacity: f64,
     },
-    /// The first engine works at this part of its rate.
+    /// The first engine runs at this fraction of its normal speed.
     Straggler {
         speed: f64,
     },
-    /// A third of the engines die at 100 s.
+    /// A third of the engines fail at 100 s.
     Deaths,
-    /// Outputs are this many times as long from 100 s on.
+    /// From 100 s on, outputs are this many times as long.
     LongOutputs {
         times: f64,
     },
-    /// Demand rises in the morning and falls again.
+    /// Demand rises in the morning and falls again later.
     Morning,
 }
 
-/// One scenario.
+/// A deployment, its load and a disturbance.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
     pub classes: Vec<Class>,
     pub endpoints: usize,
     pub accounts: usize,
-    /// Demand over capacity.
+    /// Normal demand as a fraction of capacity.
     pub load: f64,
     pub seconds: u64,
     pub event: Event,
+    /// Age of the load reports that `Policy::CachedLoad` uses.
     pub report_lag_ms: u64,
+    /// Whether the number of endpoints changes, and the scaling policies are compared.
     pub scales: bool,
 }
 
@@ -144,7 +149,7 @@
     ]
 }
 
-/// All scenarios at both deployments.
+/// Returns all scenarios for both deployments.
 pub fn all() -> Vec<Scenario> {
     let mut scenarios = Vec::new();
     for (site, classes, burst) in
--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario under a policy on a virtual clock.
+//! A discrete-event simulation of a scenario under a policy, on a virtual clock.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -19,15 +19,20 @@
 use crate::scenario::{Event, Policy, Scenario};
 
 const ZONES: usize = 3;
+/// Endpoints asked per request.
 const ASK_WIDTH: usize = 3;
-const PLACES: usize = 512;
-/// Callers hang up after this long without a first token.
-const PATIENCE_MS: u64 = 60_000;
-const START_MS: u64 = 45_000;
-const LOOK_MS: u64 = 2_000;
-const TRIES: u32 = 4;
-
-/// What came of a scenario.
+/// Capacity of the queue of an endpoint.
+const QUEUE_CAPACITY: usize = 512;
+/// Clients disconnect after this time without a first token.
+const CLIENT_TIMEOUT_MS: u64 = 60_000;
+/// Time from the decision to start an endpoint until it is ready.
+const ENDPOINT_START_MS: u64 = 45_000;
+/// Interval of scaling decisions.
+const SCALING_INTERVAL_MS: u64 = 2_000;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 4;
+
+/// The result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
     pub requests: Vec<Request>,
@@ -37,21 +42,21 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
+enum SimulationEvent {
     Arrival(usize),
     FirstToken { endpoint: usize, run: u64 },
     End { endpoint: usize, run: u64 },
-    Again(usize),
-    Deaths,
-    Up(usize),
-    Look,
-    Report,
+    Retry(usize),
+    EngineFailures,
+    EndpointUp(usize),
+    Scale,
+    LoadReport,
 }
 
 #[derive(Debug)]
-enum Waiting {
+enum WaitQueue {
     Router(Queue),
-    /// First come first served: by arrival. Strict: by priority, then arrival.
+    /// Jobs sorted by arrival or, if `strict`, by priority and then arrival.
     Ordered {
         jobs: VecDeque<Job>,
         strict: bool,
@@ -78,32 +83,37 @@
 #[derive(Debug)]
 struct Endpoint {
     engine: Engine,
-    waiting: Waiting,
+    waiting: WaitQueue,
     latency: LatencyEstimator,
     runs: HashMap<u64, Run>,
     place: Place,
     standing: Standing,
-    /// Since when it costs.
+    /// Start of the endpoint time that is charged.
     since_ms: u64,
-    /// Load as the lagging reports show it.
+    /// Load reports with their times; the first is the one that entries see.
     reported: VecDeque<(u64, usize)>,
-    heads: VecDeque<u64>,
+    /// Recent prompt prefixes, which offers report as cached.
+    prefixes: VecDeque<u64>,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     policy: Policy,
     now_ms: u64,
-    events: BinaryHeap<Reverse<(u64, u64, Happens)>>,
+    events: BinaryHeap<Reverse<(u64, u64, SimulationEvent)>>,
     sequence: u64,
     requests: Vec<Request>,
     endpoints: Vec<Endpoint>,
     rules: Vec<ClassRule>,
     random: StdRng,
-    turn: usize,
-    own: Vec<Vec<usize>>,
-    silent: Vec<Backoffs>,
-    budget: Vec<Budget>,
+    /// Counter of the round-robin policy.
+    round_robin: usize,
+    /// Open requests by entry and endpoint.
+    open_requests: Vec<Vec<usize>>,
+    /// Backoffs of unresponsive endpoints, by entry.
+    backoffs: Vec<Backoffs>,
+    /// Retry budgets by entry.
+    retry_budgets: Vec<Budget>,
     planner: Planner,
     endpoint_ms: u64,
 }
@@ -112,16 +122,20 @@
 pub fn run(scenario: &Scenario, policy: Policy, seed: u64) -> Outcome {
     let requests = arrivals::arrivals(scenario, seed);
     let least_endpoint_ms = arrivals::least_endpoint_ms(scenario, &requests);
-    let mut world = World::new(scenario, policy, seed, requests);
-    while let Some(Reverse((at_ms, _, happens))) = world.events.pop() {
-        world.now_ms = at_ms;
-        world.handle(happens);
+    let mut simulation = Simulation::new(scenario, policy, seed, requests);
+    while let Some(Reverse((at_ms, _, event))) = simulation.events.pop() {
+        simulation.now_ms = at_ms;
+        simulation.handle(event);
+    }
+    simulation.charge_remaining();
+    Outcome {
+        requests: simulation.requests,
+        endpoint_ms: simulation.endpoint_ms,
+        least_endpoint_ms,
     }
-    world.close();
-    Outcome { requests: world.requests, endpoint_ms: world.endpoint_ms, least_endpoint_ms }
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario, policy: Policy, seed: u64, requests: Vec<Request>) -> Self {
         let rules: Vec<ClassRule> = scenario
             .classes
@@ -132,11 +146,11 @@
                 guaranteed_ppm: class.text.guaranteed_ppm,
             })
             .collect();
-        let first = match (scenario.scales, policy) {
+        let initial_endpoints = match (scenario.scales, policy) {
             (true, Policy::FixedPeak) | (false, _) => scenario.endpoints,
             (true, _) => 2,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             scenario,
             policy,
             now_ms: 0,
@@ -145,40 +159,41 @@
             endpoints: Vec::new(),
             rules,
             random: StdRng::seed_from_u64(seed ^ 0xbeef),
-            turn: 0,
-            own: vec![vec![0; 64]; ENTRIES],
-            silent: vec![Backoffs::default(); ENTRIES],
-            budget: vec![Budget::default(); ENTRIES],
+            round_robin: 0,
+            open_requests: vec![vec![0; 64]; ENTRIES],
+            backoffs: vec![Backoffs::default(); ENTRIES],
+            retry_budgets: vec![Budget::default(); ENTRIES],
             planner: Planner::default(),
             endpoint_ms: 0,
             requests,
         };
-        for _ in 0..first {
-            world.add_endpoint(true);
+        for _ in 0..initial_endpoints {
+            simulation.add_endpoint(true);
         }
         if let Event::Straggler { speed } = scenario.event {
-            world.endpoints[0].engine.speed = speed;
+            simulation.endpoints[0].engine.speed = speed;
         }
-        for number in 0..world.requests.len() {
-            world.at(world.requests[number].arrived_ms, Happens::Arrival(number));
+        for number in 0..simulation.requests.len() {
+            simulation
+                .schedule(simulation.requests[number].arrived_ms, SimulationEvent::Arrival(number));
         }
         if scenario.event == Event::Deaths {
-            world.at(100_000, Happens::Deaths);
+            simulation.schedule(100_000, SimulationEvent::EngineFailures);
         }
-        world.at(0, Happens::Report);
+        simulation.schedule(0, SimulationEvent::LoadReport);
         if scenario.scales && policy != Policy::FixedPeak {
-            world.at(0, Happens::Look);
+            simulation.schedule(0, SimulationEvent::Scale);
         }
-        world
+        simulation
     }
 
     fn add_endpoint(&mut self, up: bool) -> usize {
         let number = self.endpoints.len();
         let work_addr: SocketAddr = ([127, 0, 0, 1], number as u16 + 1).into();
         let waiting = match self.policy {
-            Policy::Fcfs => Waiting::Ordered { jobs: VecDeque::new(), strict: false },
-            Policy::Strict => Waiting::Ordered { jobs: VecDeque::new(), strict: true },
-            _ => Waiting::Router(Queue::new(1, self.rules.clone(), PLACES)),
+            Policy::Fcfs => WaitQueue::Ordered { jobs: VecDeque::new(), strict: false },
+            Policy::Strict => WaitQueue::Ordered { jobs: VecDeque::new(), strict: true },
+            _ => WaitQueue::Router(Queue::new(1, self.rules.clone(), QUEUE_CAPACITY)),
         };
         self.endpoints.push(Endpoint {
             engine: Engine::new(1.0),
@@ -195,63 +210,65 @@
             standing: if up { Standing::Up } else { Standing::Starting },
             since_ms: self.now_ms,
             reported: VecDeque::new(),
-            heads: VecDeque::new(),
+            prefixes: VecDeque::new(),
         });
         number
     }
 
-    fn at(&mut self, at_ms: u64, happens: Happens) {
+    fn schedule(&mut self, at_ms: u64, event: SimulationEvent) {
         self.sequence += 1;
-        self.events.push(Reverse((at_ms, self.sequence, happens)));
+        self.events.push(Reverse((at_ms, self.sequence, event)));
     }
 
-    fn handle(&mut self, happens: Happens) {
-        match happens {
-            Happens::Arrival(request) => {
+    fn handle(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival(request) => {
                 let entry = self.requests[request].entry;
-                self.budget[entry].earn();
+                self.retry_budgets[entry].earn();
                 self.route(request);
             }
-            Happens::Again(request) => self.route(request),
-            Happens::FirstToken { endpoint, run } => self.first_token(endpoint, run),
-            Happens::End { endpoint, run } => self.end(endpoint, run),
-            Happens::Deaths => self.deaths(),
-            Happens::Up(endpoint) => {
+            SimulationEvent::Retry(request) => self.route(request),
+            SimulationEvent::FirstToken { endpoint, run } => self.first_token(endpoint, run),
+            SimulationEvent::End { endpoint, run } => self.finish_run(endpoint, run),
+            SimulationEvent::EngineFailures => self.fail_engines(),
+            SimulationEvent::EndpointUp(endpoint) => {
                 self.endpoints[endpoint].standing = Standing::Up;
                 self.planner.endpoint_started(self.now_ms);
             }
-            Happens::Look => self.look(),
-            Happens::Report => self.report(),
+            SimulationEvent::Scale => self.scale(),
+            SimulationEvent::LoadReport => self.report_loads(),
         }
     }
 
     fn route(&mut self, request: usize) {
         let Some(endpoint) = self.choose(request) else {
-            return self.fail(request);
+            return self.refuse(request);
         };
-        self.requests[request].tries += 1;
+        self.requests[request].attempts += 1;
         self.requests[request].tried.push(endpoint);
         if self.endpoints[endpoint].engine.dead {
-            return self.again(request);
+            return self.retry(request);
         }
-        self.own[self.requests[request].entry][endpoint] += 1;
+        self.open_requests[self.requests[request].entry][endpoint] += 1;
         self.submit(request, endpoint);
     }
 
-    fn fail(&mut self, request: usize) {
+    fn refuse(&mut self, request: usize) {
         self.requests[request].refused = true;
     }
 
-    fn again(&mut self, request: usize) {
+    /// Retries a request if its attempts and the retry budget of its entry allow it, else refuses it.
+    fn retry(&mut self, request: usize) {
         let entry = self.requests[request].entry;
-        if self.requests[request].tries < TRIES && self.budget[entry].spend() {
-            self.at(self.now_ms + 1, Happens::Again(request));
+        if self.requests[request].attempts < MAX_ATTEMPTS && self.retry_budgets[entry].spend() {
+            self.schedule(self.now_ms + 1, SimulationEvent::Retry(request));
         } else {
-            self.fail(request);
+            self.refuse(request);
         }
     }
 
-    fn open(&self, request: usize) -> Vec<usize> {
+    /// Endpoints that are up and that the request was not sent to yet.
+    fn candidates(&self, request: usize) -> Vec<usize> {
         let tried = &self.requests[request].tried;
         (0..self.endpoints.len())
             .filter(|number| self.endpoints[*number].standing == Standing::Up)
@@ -260,57 +277,58 @@
     }
 
     fn choose(&mut self, request: usize) -> Option<usize> {
-        let open = self.open(request);
+        let candidates = self.candidates(request);
         match self.policy {
             Policy::RoundRobin => {
-                self.turn += 1;
-                (!open.is_empty()).then(|| open[self.turn % open.len()])
+                self.round_robin += 1;
+                (!candidates.is_empty()).then(|| candidates[self.round_robin % candidates.len()])
             }
             Policy::LeastConnections => {
-                let own = &self.own[self.requests[request].entry];
+                let own = &self.open_requests[self.requests[request].entry];
                 let offset: usize = self.random.random_range(0..64);
-                open.into_iter().min_by_key(|number| (own[*number], (number + offset) % 64))
+                candidates.into_iter().min_by_key(|number| (own[*number], (number + offset) % 64))
             }
             Policy::CachedLoad => {
                 let offset: usize = self.random.random_range(0..64);
-                open.into_iter().min_by_key(|number| {
+                candidates.into_iter().min_by_key(|number| {
                     let load = self.endpoints[*number].reported.front().map_or(0, |seen| seen.1);
                     (load, (number + offset) % 64)
                 })
             }
-            Policy::Exact => open
+            Policy::Exact => candidates
                 .into_iter()
                 .filter(|number| !self.endpoints[*number].engine.dead)
                 .min_by_key(|number| {
                     self.offer(*number, request)
                         .map_or(u32::MAX, |offer| placement::cost_ms(&offer, true))
                 }),
-            _ => self.ask(request, &open),
+            _ => self.ask(request, &candidates),
         }
     }
 
-    fn ask(&mut self, request: usize, open: &[usize]) -> Option<usize> {
-        let (entry, head) = (self.requests[request].entry, self.requests[request].head);
+    /// Chooses an endpoint as the router does: asks several endpoints and takes the offer of the least cost.
+    fn ask(&mut self, request: usize, candidates: &[usize]) -> Option<usize> {
+        let (entry, prefix) = (self.requests[request].entry, self.requests[request].prefix);
         let places: Vec<Place> =
-            open.iter().map(|number| self.endpoints[*number].place.clone()).collect();
+            candidates.iter().map(|number| self.endpoints[*number].place.clone()).collect();
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
-        let silent = &self.silent[entry];
-        let avoid = |target: Target| silent.is_backed_off(target, now_ms);
-        let picked = placement::pick(&places, &zone, head, ASK_WIDTH, avoid, &mut self.random);
+        let backoffs = &self.backoffs[entry];
+        let avoid = |target: Target| backoffs.is_backed_off(target, now_ms);
+        let picked = placement::pick(&places, &zone, prefix, ASK_WIDTH, avoid, &mut self.random);
         let numbers: Vec<usize> = picked
             .iter()
             .filter_map(|place| {
-                open.iter().copied().find(|n| self.endpoints[*n].place.id == place.id)
+                candidates.iter().copied().find(|n| self.endpoints[*n].place.id == place.id)
             })
             .collect();
         let mut best: Option<(u32, usize)> = None;
         for number in numbers {
             let target = Target::of(&self.endpoints[number].place);
             match self.offer(number, request) {
-                None => self.silent[entry].record_timeout(target, now_ms),
+                None => self.backoffs[entry].record_timeout(target, now_ms),
                 Some(offer) => {
-                    self.silent[entry].record_answer(target);
+                    self.backoffs[entry].record_answer(target);
                     let same = self.endpoints[number].place.zone == zone.as_str();
                     let cost = placement::cost_ms(&offer, same);
                     if best.is_none_or(|(least, _)| cost < least) {
@@ -322,6 +340,7 @@
         best.map(|(_, number)| number)
     }
 
+    /// The offer of an endpoint, or nothing if its engine failed.
     fn offer(&self, number: usize, request: usize) -> Option<wire::Offer> {
         let endpoint = &self.endpoints[number];
         if endpoint.engine.dead {
@@ -330,10 +349,10 @@
         let request = &self.requests[request];
         let class = config::ClassKey(request.class as u16);
         let ahead = match &endpoint.waiting {
-            Waiting::Router(queue) => {
+            WaitQueue::Router(queue) => {
                 queue.jobs_ahead(class, &format!("account-{}", request.account), 1)
             }
-            Waiting::Ordered { jobs, strict } => {
+            WaitQueue::Ordered { jobs, strict } => {
                 let priority = |class: config::ClassKey| self.rules[usize::from(class.0)].priority;
                 let before = |job: &&Job| !*strict || priority(job.class) >= priority(class);
                 jobs.iter().filter(before).count()
@@ -345,7 +364,7 @@
             endpoint: wire::EndpointIndex(0),
             first_token_ms: wait_ms.saturating_add(endpoint.latency.start_ms(self.now_ms)),
             leaving: false,
-            knows_prefix: endpoint.heads.contains(&request.head),
+            knows_prefix: endpoint.prefixes.contains(&request.prefix),
             holds_answer: false,
             running: 0,
             waiting: 0,
@@ -359,10 +378,10 @@
             u64::from(self.offer(number, request).map_or(0, |offer| offer.first_token_ms));
         let longest = class.longest_wait_ms();
         let endpoint = &mut self.endpoints[number];
-        let is_router = matches!(endpoint.waiting, Waiting::Router(_));
+        let is_router = matches!(endpoint.waiting, WaitQueue::Router(_));
         if is_router && longest.is_some_and(|most| expected_ms > most) {
-            self.own[of.entry][number] -= 1;
-            return self.fail(request);
+            self.open_requests[of.entry][number] -= 1;
+            return self.refuse(request);
         }
         let output = endpoint.latency.output_tokens(8_000);
         let job = Job {
@@ -372,78 +391,81 @@
             share: 1,
             estimate_tokens: u64::from(of.prompt_tokens) + output,
             target_at_ms: of.arrived_ms + u64::from(class.latency_target_ms),
-            expires_at_ms: self.now_ms + longest.unwrap_or(PATIENCE_MS).min(PATIENCE_MS),
+            expires_at_ms: self.now_ms
+                + longest.unwrap_or(CLIENT_TIMEOUT_MS).min(CLIENT_TIMEOUT_MS),
         };
         let refused = match &mut endpoint.waiting {
-            Waiting::Router(queue) => match queue.push(job) {
+            WaitQueue::Router(queue) => match queue.push(job) {
                 PushOutcome::Queued(_) => None,
                 PushOutcome::QueuedEvicting(_, out) | PushOutcome::Refused(out) => Some(out),
             },
-            Waiting::Ordered { jobs, strict } => {
+            WaitQueue::Ordered { jobs, strict } => {
                 jobs.push_back(job);
                 if *strict {
                     let rules = &self.rules;
                     jobs.make_contiguous()
                         .sort_by_key(|job| Reverse(rules[usize::from(job.class.0)].priority));
                 }
-                if jobs.len() > PLACES { jobs.pop_back() } else { None }
+                if jobs.len() > QUEUE_CAPACITY { jobs.pop_back() } else { None }
             }
         };
         if let Some(out) = refused {
-            self.give_up(number, &out);
+            self.drop_job(number, &out);
         }
-        self.pump(number);
+        self.start_jobs(number);
     }
 
-    fn give_up(&mut self, number: usize, job: &Job) {
+    fn drop_job(&mut self, number: usize, job: &Job) {
         let request = job.id as usize;
-        self.own[self.requests[request].entry][number] -= 1;
-        self.fail(request);
+        self.open_requests[self.requests[request].entry][number] -= 1;
+        self.refuse(request);
     }
 
-    fn pump(&mut self, number: usize) {
+    /// Starts waiting jobs while the endpoint has free slots.
+    fn start_jobs(&mut self, number: usize) {
         let now_ms = self.now_ms;
-        if let Waiting::Router(queue) = &mut self.endpoints[number].waiting {
+        if let WaitQueue::Router(queue) = &mut self.endpoints[number].waiting {
             for job in queue.expire(now_ms) {
-                self.give_up(number, &job);
+                self.drop_job(number, &job);
             }
         }
         while self.endpoints[number].engine.running < SLOTS {
             let endpoint = &mut self.endpoints[number];
             let (job, started) = match &mut endpoint.waiting {
-                Waiting::Router(queue) => match queue.pop(endpoint.engine.running, SLOTS) {
+                WaitQueue::Router(queue) => match queue.pop(endpoint.engine.running, SLOTS) {
                     Some(started) => (started.job.clone(), Some(started)),
                     None => break,
                 },
-                Waiting::Ordered { jobs, .. } => match jobs.pop_front() {
+                WaitQueue::Ordered { jobs, .. } => match jobs.pop_front() {
                     Some(job) => (job, None),
                     None => break,
                 },
             };
-            if now_ms > self.requests[job.id as usize].arrived_ms + PATIENCE_MS {
-                self.give_up(number, &job);
+            if now_ms > self.requests[job.id as usize].arrived_ms + CLIENT_TIMEOUT_MS {
+                self.drop_job(number, &job);
                 continue;
             }
-            self.begin(number, job.id as usize, started);
+            self.start_run(number, job.id as usize, started);
         }
     }
 
-    fn begin(&mut self, number: usize, request: usize, started: Option<Started>) {
+    fn start_run(&mut self, number: usize, request: usize, started: Option<Started>) {
         let of = &self.requests[request];
         let endpoint = &mut self.endpoints[number];
-        endpoint.heads.push_back(of.head);
-        if endpoint.heads.len() > 1024 {
-            endpoint.heads.pop_front();
+        endpoint.prefixes.push_back(of.prefix);
+        if endpoint.prefixes.len() > 1024 {
+            endpoint.prefixes.pop_front();
         }
-        let times = endpoint.engine.start(self.now_ms, of.prompt_tokens, of.output, of.head);
+        let times =
+            endpoint.engine.start(self.now_ms, of.prompt_tokens, of.output_tokens, of.prefix);
         self.sequence += 1;
         let run = self.sequence;
         endpoint.runs.insert(
             run,
             Run { request, started, began_ms: self.now_ms, first_ms: None, end_ms: times.end_ms },
         );
-        self.at(times.first_token_ms, Happens::FirstToken { endpoint: number, run });
-        self.at(times.end_ms, Happens::End { endpoint: number, run });
+        self.schedule(times.first_token_ms, SimulationEvent::FirstToken { endpoint: number, run });
+        self.schedule(times.end_ms, SimulationEvent::End { endpoint: number, run });
     }
 
     fn first_token(&mut self, number: usize, run: u64) {
@@ -454,10 +476,10 @@
         };
         run.first_ms = Some(now_ms);
         endpoint.latency.first_token(now_ms - run.began_ms, now_ms);
-        self.requests[run.request].first_ms = Some(now_ms);
+        self.requests[run.request].first_token_ms = Some(now_ms);
     }
 
-    fn end(&mut self, number: usize, run: u64) {
+    fn finish_run(&mut self, number: usize, run: u64) {
         let now_ms = self.now_ms;
         let endpoint = &mut self.endpoints[number];
         let Some(run) = endpoint.runs.remove(&run) else {
@@ -465,46 +487,49 @@
         };
         endpoint.engine.running -= 1;
         let of = &mut self.requests[run.request];
-        of.whole = true;
-        endpoint.latency.finished(now_ms - run.began_ms, of.output);
-        if let (Some(started), Waiting::Router(queue)) = (run.started, &mut endpoint.waiting) {
-            queue.finish(started, u64::from(of.prompt_tokens) + of.output);
+        of.completed = true;
+        endpoint.latency.finished(now_ms - run.began_ms, of.output_tokens);
+        if let (Some(started), WaitQueue::Router(queue)) = (run.started, &mut endpoint.waiting) {
+            queue.finish(started, u64::from(of.prompt_tokens) + of.output_tokens);
         }
-        self.own[of.entry][number] -= 1;
-        self.pump(number);
+        self.open_requests[of.entry][number] -= 1;
+        self.start_jobs(number);
     }
 
-    fn deaths(&mut self) {
+    /// Fails the engines of a third of the endpoints. Requests without a first token are retried; the tokens
+    /// of the others are wasted.
+    fn fail_engines(&mut self) {
         for number in 0..self.scenario.endpoints / 3 {
             let endpoint = &mut self.endpoints[number];
             endpoint.engine.dead = true;
             let runs: Vec<Run> = endpoint.runs.drain().map(|(_, run)| run).collect();
             let jobs: Vec<Job> = match &mut endpoint.waiting {
-                Waiting::Router(queue) => queue.drain(),
-                Waiting::Ordered { jobs, .. } => jobs.drain(..).collect(),
+                WaitQueue::Router(queue) => queue.drain(),
+                WaitQueue::Ordered { jobs, .. } => jobs.drain(..).collect(),
             };
             for run in runs {
                 let of = &mut self.requests[run.request];
                 match run.first_ms {
-                    None => self.again(run.request),
+                    None => self.retry(run.request),
                     Some(first_ms) => {
                         let whole_ms = (run.end_ms - first_ms).max(1);
-                        of.wasted_tokens += of.output * (self.now_ms - first_ms) / whole_ms;
+                        of.wasted_tokens += of.output_tokens * (self.now_ms - first_ms) / whole_ms;
                     }
                 }
             }
             for job in jobs {
-                self.again(job.id as usize);
+                self.retry(job.id as usize);
             }
         }
     }
 
-    fn report(&mut self) {
+    /// Adds a load report of every endpoint and drops those that newer ones replace after the lag.
+    fn report_loads(&mut self) {
         let lag_ms = self.scenario.report_lag_ms;
         for endpoint in &mut self.endpoints {
             let waiting = match &endpoint.waiting {
-                Waiting::Router(queue) => queue.len(),
-                Waiting::Ordered { jobs, .. } => jobs.len(),
+                WaitQueue::Router(queue) => queue.len(),
+                WaitQueue::Ordered { jobs, .. } => jobs.len(),
             };
             endpoint.reported.push_back((self.now_ms, endpoint.engine.running + waiting));
             while endpoint.reported.len() > 1 && endpoint.reported[1].0 + lag_ms <= self.now_ms {
@@ -512,14 +537,15 @@
             }
         }
         if self.now_ms < self.scenario.seconds * 1000 {
-            self.at(self.now_ms + 250, Happens::Report);
+            self.schedule(self.now_ms + 250, SimulationEvent::LoadReport);
         }
     }
 
-    fn look(&mut self) {
+    /// Makes a scaling decision and stops leaving endpoints that are idle.
+    fn scale(&mut self) {
         let load = |endpoint: &Endpoint| match &endpoint.waiting {
-            Waiting::Router(queue) => queue.len() as u32,
-            Waiting::Ordered { jobs, .. } => jobs.len() as u32,
+            WaitQueue::Router(queue) => queue.len() as u32,
+            WaitQueue::Ordered { jobs, .. } => jobs.len() as u32,
         };
         let live: Vec<usize> = (0..self.endpoints.len())
             .filter(|number| self.endpoints[*number].standing == Standing::Up)
@@ -549,7 +575,7 @@
             Plan::Hold => {}
             Plan::Start => {
                 let number = self.add_endpoint(false);
-                self.at(self.now_ms + START_MS, Happens::Up(number));
+                self.schedule(self.now_ms + ENDPOINT_START_MS, SimulationEvent::EndpointUp(number));
             }
             Plan::Stop => {
                 let least = live.iter().copied().min_by_key(|n| self.endpoints[*n].engine.running);
@@ -566,11 +592,12 @@
             }
         }
         if self.now_ms < self.scenario.seconds * 1000 {
-            self.at(self.now_ms + LOOK_MS, Happens::Look);
+            self.schedule(self.now_ms + SCALING_INTERVAL_MS, SimulationEvent::Scale);
         }
     }
 
-    fn close(&mut self) {
+    /// Charges the endpoint time of the endpoints that are not stopped.
+    fn charge_remaining(&mut self) {
         let end_ms = self.scenario.seconds * 1000;
         for endpoint in &self.endpoints {
             if endpoint.standing != Standing::Stopped {
