--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -1,7 +1,7 @@
-//! Slopes for docs/CAPACITY.md: time and memory of the parts that grow with the fleet, the client
-//! accounts, the requests and the streams.
+//! Measures the slopes for docs/CAPACITY.md: time and memory of the parts that grow with the fleet, the
+//! client accounts, the requests and the streams.
 //!
-//! `cargo bench --bench slopes` prints one JSON line a slope; the median of several rounds.
+//! `cargo bench --bench slopes` prints one JSON line per slope. Times are the median of several rounds.
 
 mod memory;
 
@@ -24,7 +24,7 @@
     queue();
     frames();
     datagrams();
-    texts();
+    configuration();
     tables();
     streams();
 }
@@ -36,7 +36,7 @@
     );
 }
 
-/// Median time of one of `count` steps that `work` does.
+/// Returns the median time of one step, where `work` does `count` steps.
 fn time_ns(count: usize, mut work: impl FnMut()) -> f64 {
     let mut rounds: Vec<f64> = (0..ROUNDS)
         .map(|_| {
@@ -49,13 +49,13 @@
     rounds[ROUNDS / 2]
 }
 
-/// Bytes that one of `count` things made by `make` holds.
-fn held_bytes<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
-    let before = memory::held();
+/// Returns the heap bytes of one value, where `make` creates `count` values.
+fn heap_bytes<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
+    let before = memory::allocated_bytes();
     let made = make();
-    let held = memory::held() - before;
+    let allocated = memory::allocated_bytes() - before;
     drop(made);
-    held as f64 / count as f64
+    allocated as f64 / count as f64
 }
 
 fn job(id: u64) -> Job {
@@ -70,7 +70,7 @@
     }
 }
 
-fn filled(count: u64) -> Queue {
+fn queue_with_jobs(count: u64) -> Queue {
     let rules = (0..7_u8)
         .map(|class| ClassRule { priority: class, protected: class > 4, guaranteed_ppm: 20_000 })
         .collect();
@@ -82,18 +82,18 @@
 }
 
 fn queue() {
-    let mut queue = filled(10_000);
+    let mut queue = queue_with_jobs(10_000);
     let mut id = 10_000;
     let one = time_ns(5_000, || {
         for _ in 0..5_000 {
             id += 1;
             queue.push(job(id));
-            let started = queue.pop(0, 1024).expect("filled");
+            let started = queue.pop(0, 1024).expect("queue is not empty");
             queue.finish(started, 400);
         }
     });
     print("queue: push, pop and finish with 10000 waiting of 3400 accounts", "ns", one);
-    let queue = filled(10_000);
+    let queue = queue_with_jobs(10_000);
     let ahead = time_ns(200, || {
         for _ in 0..200 {
             let queue = black_box(&queue);
@@ -101,7 +101,7 @@
         }
     });
     print("queue: jobs ahead with 10000 waiting of 3400 accounts", "ns", ahead);
-    let small = filled(200);
+    let small = queue_with_jobs(200);
     let ahead = time_ns(2_000, || {
         for _ in 0..2_000 {
             let small = black_box(&small);
@@ -109,7 +109,11 @@
         }
     });
     print("queue: jobs ahead with 200 waiting", "ns", ahead);
-    print("queue: memory of a waiting job", "bytes", held_bytes(10_000, || filled(10_000)));
+    print(
+        "queue: memory of a waiting job",
+        "bytes",
+        heap_bytes(10_000, || queue_with_jobs(10_000)),
+    );
 }
 
 fn data_frame(bytes: usize) -> wire::ToEntry {
@@ -126,7 +130,7 @@
         let seal = time_ns(2_000, || {
             out.clear();
             for _ in 0..2_000 {
-                sealer.seal(&frame, &mut out).expect("short");
+                sealer.seal(&frame, &mut out).expect("message fits");
             }
         });
         print(&format!("frame: seal {bytes} bytes of an answer"), "ns", seal);
@@ -135,10 +139,10 @@
             let mut opener = seal::Opener::new(secret.clone());
             out.clear();
             for _ in 0..2_000 {
-                sealer.seal(&frame, &mut out).expect("short");
+                sealer.seal(&frame, &mut out).expect("message fits");
             }
             opener.push(&out);
-            while let Some(frame) = opener.read::<wire::ToEntry>().expect("sealed") {
+            while let Some(frame) = opener.read::<wire::ToEntry>().expect("sealed above") {
                 black_box(frame);
             }
         });
@@ -165,12 +169,14 @@
     });
     let both = time_ns(2_000, || {
         for _ in 0..2_000 {
-            let bytes = seal::seal_datagram(&secret, &ask).expect("short");
-            black_box(seal::open_datagram::<wire::Datagram>(&secret, &bytes).expect("sealed"));
+            let bytes = seal::seal_datagram(&secret, &ask).expect("message fits");
+            black_box(
+                seal::open_datagram::<wire::Datagram>(&secret, &bytes).expect("sealed above"),
+            );
         }
     });
     print("ask: seal and open", "ns", both);
-    let bytes = seal::seal_datagram(&secret, &ask).expect("short");
+    let bytes = seal::seal_datagram(&secret, &ask).expect("message fits");
     print("ask: size", "bytes", bytes.len() as f64);
     let offer = wire::Datagram::Offer(wire::Offer {
         nonce: u64::MAX,
@@ -182,26 +188,28 @@
         running: 20,
         waiting: 100,
     });
-    let bytes = seal::seal_datagram(&secret, &offer).expect("short");
+    let bytes = seal::seal_datagram(&secret, &offer).expect("message fits");
     print("offer: size", "bytes", bytes.len() as f64);
     let shared = fleet();
     let digest = shared.digest(([127, 0, 0, 1], 1).into(), false);
     let one = time_ns(2_000, || {
         for _ in 0..2_000 {
             let datagram = wire::Datagram::Digest(digest.clone());
-            let bytes = seal::seal_datagram(&secret, &datagram).expect("short");
+            let bytes = seal::seal_datagram(&secret, &datagram).expect("message fits");
             let Ok(wire::Datagram::Digest(digest)) = seal::open_datagram(&secret, &bytes) else {
-                unreachable!("sealed above")
+                unreachable!("digest was sealed above")
             };
             black_box((shared.is_behind(&digest), shared.is_ahead(&digest)));
         }
     });
     print("digest: seal, open and compare with 340 daemons", "ns", one);
-    let bytes = seal::seal_datagram(&secret, &wire::Datagram::Digest(digest)).expect("short");
+    let bytes =
+        seal::seal_datagram(&secret, &wire::Datagram::Digest(digest)).expect("message fits");
     print("digest: size", "bytes", bytes.len() as f64);
 }
 
-fn text(accounts: u32) -> String {
+/// The text of a configuration with this many accounts.
+fn config_text(accounts: u32) -> String {
     let classes: String = (0..7)
         .map(|n| format!("\"class-{n}\": {{\"latency_target_ms\": 410, \"priority\": {n}}},"))
         .collect();
@@ -221,18 +229,18 @@
     )
 }
 
-fn texts() {
-    let text = text(ACCOUNTS);
+fn configuration() {
+    let text = config_text(ACCOUNTS);
     print(
         "configuration: text of 3400 accounts, 20 services, 7 classes",
         "bytes",
         text.len() as f64,
     );
     let parse = time_ns(1, || {
-        black_box(config::Config::parse(&text).expect("right"));
+        black_box(config::Config::parse(&text).expect("configuration is valid"));
     });
     print("configuration: check that text", "ns", parse);
-    let held = held_bytes(1, || config::Config::parse(&text).expect("right"));
+    let held = heap_bytes(1, || config::Config::parse(&text).expect("configuration is valid"));
     print("configuration: memory of its model", "bytes", held);
 }
 
@@ -267,6 +275,7 @@
     }
 }
 
+/// The shared state of a fleet with `DAEMONS` daemons.
 fn fleet() -> Shared {
     let mut shared = Shared::default();
     for number in 0..DAEMONS {
@@ -284,7 +293,7 @@
         }
         table
     };
-    print("keys: memory of a key", "bytes", held_bytes(KEYS as usize, table));
+    print("keys: memory of a key", "bytes", heap_bytes(KEYS as usize, table));
     let full = table();
     let copy = time_ns(1, || {
         black_box(full.clone());
@@ -299,7 +308,7 @@
         }
     });
     print("keys: check a key", "ns", check);
-    print("fleet: memory of a daemon's record", "bytes", held_bytes(DAEMONS, fleet));
+    print("fleet: memory of a daemon's record", "bytes", heap_bytes(DAEMONS, fleet));
     let shared = fleet();
     let snapshot = time_ns(1, || {
         black_box(shared.snapshot());
@@ -309,7 +318,7 @@
     let mut changed = member(7);
     changed.version += 1;
     newer.fleet.take(changed);
-    newer.take_config(ConfigText { version: 9, text: text(ACCOUNTS) });
+    newer.take_config(ConfigText { version: 9, text: config_text(ACCOUNTS) });
     let pull = shared.pull();
     let size =
         |shared: &Shared| postcard::to_stdvec(&shared.news_for(&pull)).map_or(0, |b| b.len());
@@ -323,7 +332,7 @@
 }
 
 fn streams() {
-    let bytes = held_bytes(1_000, || {
+    let bytes = heap_bytes(1_000, || {
         (0..1_000)
             .map(|slot| {
                 let mut answer = Answer::default();
--- a/benches/slopes/memory.rs
+++ b/benches/slopes/memory.rs
@@ -1,31 +1,31 @@
-//! Counts the bytes held on the heap, for slopes of memory.
+//! A global allocator that counts allocated heap bytes, for the slopes of memory.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicIsize, Ordering};
 
-struct Counting;
+struct CountingAllocator;
 
-static HELD: AtomicIsize = AtomicIsize::new(0);
+static ALLOCATED_BYTES: AtomicIsize = AtomicIsize::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged; only sizes are counted beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator; only the sizes are counted in addition.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
-        // SAFETY: the caller's promises are passed on.
+        ALLOCATED_BYTES.fetch_add(layout.size() as isize, Ordering::Relaxed);
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`, which `System` shares.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as isize, Ordering::Relaxed);
-        // SAFETY: the caller's promises are passed on.
+        ALLOCATED_BYTES.fetch_sub(layout.size() as isize, Ordering::Relaxed);
+        // SAFETY: the caller upholds the contract of `GlobalAlloc`, which `System` shares.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Bytes held now.
-pub fn held() -> isize {
-    HELD.load(Ordering::Relaxed)
+/// Bytes that are allocated now.
+pub fn allocated_bytes() -> isize {
+    ALLOCATED_BYTES.load(Ordering::Relaxed)
 }
