--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use briarwinch::latency::LatencyEstimator;
-use briarwinch::membership::Place;
+use briarwinch::membership::EndpointLocation;
 use briarwinch::placement::{self, Backoffs, Target};
 use briarwinch::queue::{ClassRule, Job, PushOutcome, Queue, Started};
 use briarwinch::retry::Budget;
@@ -86,7 +86,7 @@
     waiting: WaitQueue,
     latency: LatencyEstimator,
     runs: HashMap<u64, Run>,
-    place: Place,
+    place: EndpointLocation,
     standing: Standing,
     /// Start of the endpoint time that is charged.
     since_ms: u64,
@@ -200,7 +200,7 @@
             waiting,
             latency: LatencyEstimator::default(),
             runs: HashMap::new(),
-            place: Place {
+            place: EndpointLocation {
                 work_addr,
                 endpoint: wire::EndpointIndex(0),
                 id: format!("engine-{number}").into(),
@@ -309,7 +309,7 @@
     /// Chooses an endpoint as the router does: asks several endpoints and takes the offer of the least cost.
     fn ask(&mut self, request: usize, candidates: &[usize]) -> Option<usize> {
         let (entry, prefix) = (self.requests[request].entry, self.requests[request].prefix);
-        let places: Vec<Place> =
+        let places: Vec<EndpointLocation> =
             candidates.iter().map(|number| self.endpoints[*number].place.clone()).collect();
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -107,8 +107,8 @@
     }
 }
 
-impl settings::Checked for Gateway {
-    fn check(&self) -> Result<(), (jsonc::Path, String)> {
+impl settings::Validate for Gateway {
+    fn validate(&self) -> Result<(), (jsonc::Path, String)> {
         let require = settings::require;
         require(!self.id.is_empty(), crate::path!["id"], "the id is empty")?;
         require(
