--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -86,7 +86,7 @@
     waiting: WaitQueue,
     latency: LatencyEstimator,
     runs: HashMap<u64, Run>,
-    place: EndpointLocation,
+    location: EndpointLocation,
     standing: Standing,
     /// Start of the endpoint time that is charged.
     since_ms: u64,
@@ -200,7 +200,7 @@
             waiting,
             latency: LatencyEstimator::default(),
             runs: HashMap::new(),
-            place: EndpointLocation {
+            location: EndpointLocation {
                 work_addr,
                 endpoint: wire::EndpointIndex(0),
                 id: format!("engine-{number}").into(),
@@ -309,27 +309,27 @@
     /// Chooses an endpoint as the router does: asks several endpoints and takes the offer of the least cost.
     fn ask(&mut self, request: usize, candidates: &[usize]) -> Option<usize> {
         let (entry, prefix) = (self.requests[request].entry, self.requests[request].prefix);
-        let places: Vec<EndpointLocation> =
-            candidates.iter().map(|number| self.endpoints[*number].place.clone()).collect();
+        let locations: Vec<EndpointLocation> =
+            candidates.iter().map(|number| self.endpoints[*number].location.clone()).collect();
         let zone = format!("zone-{}", entry % ZONES);
         let now_ms = self.now_ms;
         let backoffs = &self.backoffs[entry];
         let avoid = |target: Target| backoffs.is_backed_off(target, now_ms);
-        let picked = placement::pick(&places, &zone, prefix, ASK_WIDTH, avoid, &mut self.random);
+        let picked = placement::pick(&locations, &zone, prefix, ASK_WIDTH, avoid, &mut self.random);
         let numbers: Vec<usize> = picked
             .iter()
-            .filter_map(|place| {
-                candidates.iter().copied().find(|n| self.endpoints[*n].place.id == place.id)
+            .filter_map(|location| {
+                candidates.iter().copied().find(|n| self.endpoints[*n].location.id == location.id)
             })
             .collect();
         let mut best: Option<(u32, usize)> = None;
         for number in numbers {
-            let target = Target::of(&self.endpoints[number].place);
+            let target = Target::of(&self.endpoints[number].location);
             match self.offer(number, request) {
                 None => self.backoffs[entry].record_timeout(target, now_ms),
                 Some(offer) => {
                     self.backoffs[entry].record_answer(target);
-                    let same = self.endpoints[number].place.zone == zone.as_str();
+                    let same = self.endpoints[number].location.zone == zone.as_str();
                     let cost = placement::cost_ms(&offer, same);
                     if best.is_none_or(|(least, _)| cost < least) {
                         best = Some((cost, number));
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -255,8 +255,8 @@
 }
 
 fn member(number: usize) -> membership::Member {
-    let endpoints = (0..ENDPOINTS / 300).map(|place| membership::Endpoint {
-        id: format!("endpoint-{}", number * 2 + place).into(),
+    let endpoints = (0..ENDPOINTS / 300).map(|index| membership::Endpoint {
+        id: format!("endpoint-{}", number * 2 + index).into(),
         service: format!("service-{}", number % 20).into(),
     });
     let is_side = number < 300;
