--- a/benches/policy/report.rs
+++ b/benches/policy/report.rs
@@ -37,7 +37,7 @@
         .map(|(number, class)| {
             let requests: Vec<&Request> =
                 outcome.requests.iter().filter(|request| request.class == number).collect();
-            let target_ms = u64::from(class.text.latency_target_ms);
+            let target_ms = u64::from(class.spec.latency_target_ms);
             let met = |request: &&&Request| {
                 request.completed
                     && request.first_token_ms.is_some_and(|at| at <= request.arrived_ms + target_ms)
--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: &'static str,
-    pub text: ClassSpec,
+    pub spec: ClassSpec,
     /// Fraction of all requests.
     pub share: f64,
     pub prompt_tokens: u32,
@@ -118,7 +118,7 @@
     protected: bool,
     shape: (f64, u32, f64),
 ) -> Class {
-    let text = ClassSpec {
+    let spec = ClassSpec {
         latency_target_ms,
         priority,
         protected,
@@ -126,7 +126,7 @@
         max_wait_ms: None,
     };
     let (share, prompt_tokens, output_tokens) = shape;
-    Class { name, text, share, prompt_tokens, output_tokens }
+    Class { name, spec, share, prompt_tokens, output_tokens }
 }
 
 fn sidang() -> Vec<Class> {
--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -141,9 +141,9 @@
             .classes
             .iter()
             .map(|class| ClassRule {
-                priority: class.text.priority,
-                protected: class.text.protected,
-                guaranteed_ppm: class.text.guaranteed_ppm,
+                priority: class.spec.priority,
+                protected: class.spec.protected,
+                guaranteed_ppm: class.spec.guaranteed_ppm,
             })
             .collect();
         let initial_endpoints = match (scenario.scales, policy) {
@@ -373,7 +373,7 @@
 
     fn submit(&mut self, request: usize, number: usize) {
         let of = &self.requests[request];
-        let class = &self.scenario.classes[of.class].text;
+        let class = &self.scenario.classes[of.class].spec;
         let expected_ms =
             u64::from(self.offer(number, request).map_or(0, |offer| offer.first_token_ms));
         let longest = class.longest_wait_ms();
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -160,7 +160,7 @@
         config_refused: shared
             .refused
             .as_ref()
-            .map(|refused| format!("version {}: {}", refused.version, refused.mistake)),
+            .map(|refused| format!("version {}: {}", refused.version, refused.error)),
         keys_revision: shared.keys.revision(),
         keys: shared.keys.len(),
         roster_revision: shared.roster.revision,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -63,7 +63,7 @@
         }
     };
     if line.check {
-        println!("{}: no mistakes", line.settings.display());
+        println!("{}: no errors", line.settings.display());
         return ExitCode::SUCCESS;
     }
     let (log, guard) = logging::open(settings.id(), settings.log_output());
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -107,7 +107,7 @@
     let id = CompactString::from(trace::request_id());
     let parent = text_header(&http, "traceparent").and_then(trace::Context::parse);
     let span = trace::Span::start("entry", parent.unwrap_or_else(trace::Context::root));
-    let mut story = explain::RequestRecord {
+    let mut record = explain::RequestRecord {
         request: id.clone(),
         trace_id: format!("{:032x}", span.context.trace),
         ..Default::default()
@@ -116,12 +116,12 @@
         return response;
     }
     let begin_ms = worker.now_ms();
-    let admitted = admit(worker, &http, payload, id, span.context, &mut story).await;
+    let admitted = admit(worker, &http, payload, id, span.context, &mut record).await;
     let mut response = match admitted {
-        Ok((request, active)) => relay::relay(worker, request, active, story, span).await,
+        Ok((request, active)) => relay::relay(worker, request, active, record, span).await,
         Err(refusal) => {
-            span.end(&worker.common.spans, &story.request);
-            respond::refuse(worker, &refusal, story, begin_ms)
+            span.end(&worker.common.spans, &record.request);
+            respond::refuse(worker, &refusal, record, begin_ms)
         }
     };
     if worker.common.hub.draining.load(Ordering::Relaxed) {
@@ -178,16 +178,16 @@
     payload: web::types::Payload,
     id: CompactString,
     trace: trace::Context,
-    story: &mut explain::RequestRecord,
+    record: &mut explain::RequestRecord,
 ) -> Result<(Request, Active), error::Refusal> {
     let arrived_ms = worker.now_ms();
     let snapshot = worker.snapshot();
     let refuse = error::Refusal::not_run;
     let key = check_key(&snapshot, http)?;
-    story.key = key.record.id.clone();
-    story.account = key.record.account.clone();
+    record.key = key.record.id.clone();
+    record.account = key.record.account.clone();
     let active_config = snapshot.config.as_ref().ok_or_else(|| refuse(error::Kind::NotReady))?;
-    story.config_version = active_config.version;
+    record.config_version = active_config.version;
     let config = &active_config.model;
     let account =
         config.account(&key.record.account).map(|key| config.account_at(key)).ok_or_else(|| {
@@ -210,10 +210,10 @@
     check_key_not_forwarded(http, &body)?;
     let destination = destination(config, http, &body)?;
     let service = config.service_at(destination.service);
-    story.service = service.name.clone();
+    record.service = service.name.clone();
     let class_key = resolve_class(config, http, account, service)?;
     let class = config.class_at(class_key);
-    story.class = class.name.clone();
+    record.class = class.name.clone();
     let is_safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
     let repeatable = service.spec.repeatable || is_safe;
     let idempotency = idempotency(worker, http, &account.name, &service.name)?;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -46,7 +46,7 @@
     log: slog::Logger,
     secret: seal::Secret,
     spans: trace::Sink,
-    ring: Arc<explain::RequestHistory>,
+    history: Arc<explain::RequestHistory>,
     /// Number of requests in progress.
     active: AtomicUsize,
 }
@@ -77,7 +77,7 @@
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
     let metrics = metric::install()?;
-    let ring = Arc::new(explain::RequestHistory::default());
+    let history = Arc::new(explain::RequestHistory::default());
     let identity = control::Identity {
         role: membership::Role::Entry,
         work_addr: None,
@@ -88,7 +88,7 @@
     settings.listen_addr = listener.local_addr()?;
     let sockets = sockets::DaemonSockets::bind(&mut settings.daemon)?;
     let daemon = settings.daemon.clone();
-    admin::spawn(&daemon, Arc::clone(&hub), Some(Arc::clone(&ring)), metrics, sockets.admin)?;
+    admin::spawn(&daemon, Arc::clone(&hub), Some(Arc::clone(&history)), metrics, sockets.admin)?;
     control::spawn(daemon, identity, Arc::clone(&hub), log.clone(), sockets.peer)?;
     sockets::announce(&settings.daemon, settings.listen_addr);
     let common = Arc::new(Common {
@@ -97,7 +97,7 @@
         settings,
         hub,
         log,
-        ring,
+        history,
         active: AtomicUsize::new(0),
     });
     let server = serve(&common, listener)?;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -26,20 +26,20 @@
     worker: &Rc<Worker>,
     request: intake::Request,
     active: intake::Active,
-    mut story: explain::RequestRecord,
+    mut record: explain::RequestRecord,
     span: trace::Span,
 ) -> HttpResponse {
     let begin_ms = request.arrived_ms;
     worker.retry_budget.borrow_mut().earn();
-    let opened = open(worker, &request, &mut story).await;
+    let opened = open(worker, &request, &mut record).await;
     match opened {
         Ok((reader, head)) => {
-            let context = respond::AnswerContext { request, active, story, span };
+            let context = respond::AnswerContext { request, active, record, span };
             respond::answer(worker, context, reader, head).await
         }
         Err(refusal) => {
-            span.end(&worker.common.spans, &story.request);
-            respond::refuse(worker, &refusal, story, begin_ms)
+            span.end(&worker.common.spans, &record.request);
+            respond::refuse(worker, &refusal, record, begin_ms)
         }
     }
 }
@@ -48,7 +48,7 @@
 async fn open(
     worker: &Rc<Worker>,
     request: &intake::Request,
-    story: &mut explain::RequestRecord,
+    record: &mut explain::RequestRecord,
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     check_dependencies(worker, request)?;
     let mut tried: HashSet<placement::Target> = HashSet::new();
@@ -61,7 +61,7 @@
         let mut attempt = explain::Attempt::default();
         let Some(target) = select_endpoint(worker, request, &tried, &mut attempt).await else {
             attempt.outcome = "no endpoint answered".into();
-            story.attempts.push(attempt);
+            record.attempts.push(attempt);
             break;
         };
         tried.insert(target);
@@ -69,12 +69,12 @@
         match outcome {
             Ok(opened) => {
                 attempt.outcome = "answered".into();
-                story.attempts.push(attempt);
+                record.attempts.push(attempt);
                 return Ok(opened);
             }
             Err(refusal) => {
                 attempt.outcome = refusal.kind.answer().code.into();
-                story.attempts.push(attempt);
+                record.attempts.push(attempt);
                 if refusal.kind == error::Kind::LinkLost {
                     worker.backoffs.borrow_mut().record_timeout(target, worker.now_ms());
                 }
--- a/src/entry/respond.rs
+++ b/src/entry/respond.rs
@@ -26,7 +26,7 @@
 pub(super) struct AnswerContext {
     pub(super) request: intake::Request,
     pub(super) active: intake::Active,
-    pub(super) story: explain::RequestRecord,
+    pub(super) record: explain::RequestRecord,
     pub(super) span: trace::Span,
 }
 
@@ -42,11 +42,11 @@
         let Some(context) = self.context.as_mut() else {
             return;
         };
-        if context.story.first_token_ms.is_some() {
+        if context.record.first_token_ms.is_some() {
             return;
         }
         let after_ms = now_ms - context.request.arrived_ms;
-        context.story.first_token_ms = Some(after_ms);
+        context.record.first_token_ms = Some(after_ms);
         let class = context.request.class.to_string();
         let in_time = if now_ms <= context.request.target_at_ms { "yes" } else { "no" };
         metrics::counter!("briarwinch_first_tokens_total", "class" => class.clone(), "in_time" => in_time)
@@ -59,30 +59,31 @@
         let Some(mut context) = self.context.take() else {
             return;
         };
-        let story = &mut context.story;
-        story.status = status;
-        story.body_bytes = bytes;
-        story.total_ms = self.worker.now_ms() - context.request.arrived_ms;
+        let record = &mut context.record;
+        record.status = status;
+        record.body_bytes = bytes;
+        record.total_ms = self.worker.now_ms() - context.request.arrived_ms;
         match outcome {
             Ok(end) => {
-                story.outcome = "whole".into();
-                story.queue_ms = Some(end.queue_ms);
-                story.tokens = end.tokens;
+                record.outcome = "whole".into();
+                record.queue_ms = Some(end.queue_ms);
+                record.tokens = end.tokens;
             }
             Err(refusal) => {
-                story.outcome = refusal.kind.answer().code.into();
-                story.ran = refusal.ran.to_string().into();
+                record.outcome = refusal.kind.answer().code.into();
+                record.ran = refusal.ran.to_string().into();
             }
         }
-        count_outcome(&self.worker, story);
+        count_outcome(&self.worker, record);
         if let Some(rate_per_s) = context.request.tokens_per_s {
-            let tokens = u64::from(context.request.prompt_tokens) + u64::from(context.story.tokens);
+            let tokens =
+                u64::from(context.request.prompt_tokens) + u64::from(context.record.tokens);
             let now_ms = self.worker.now_ms();
             let mut token_budgets = self.worker.token_budgets.borrow_mut();
             token_budgets.charge(&context.request.account, rate_per_s, tokens, now_ms);
         }
         context.span.end(&self.worker.common.spans, &context.request.id);
-        self.worker.common.ring.push(context.story);
+        self.worker.common.history.push(context.record);
         drop(context.active);
     }
 }
@@ -95,15 +96,15 @@
     }
 }
 
-fn count_outcome(worker: &Worker, story: &explain::RequestRecord) {
+fn count_outcome(worker: &Worker, record: &explain::RequestRecord) {
     metrics::counter!("briarwinch_requests_total",
-        "class" => story.class.to_string(), "outcome" => story.outcome.to_string())
+        "class" => record.class.to_string(), "outcome" => record.outcome.to_string())
     .increment(1);
     slog::debug!(worker.common.log, "request";
-        "request" => story.request.as_str(), "trace" => &story.trace_id,
-        "account" => story.account.as_str(), "class" => story.class.as_str(),
-        "service" => story.service.as_str(), "status" => story.status,
-        "outcome" => story.outcome.as_str(), "total_ms" => story.total_ms);
+        "request" => record.request.as_str(), "trace" => &record.trace_id,
+        "account" => record.account.as_str(), "class" => record.class.as_str(),
+        "service" => record.service.as_str(), "status" => record.status,
+        "outcome" => record.outcome.as_str(), "total_ms" => record.total_ms);
 }
 
 /// Responds with the endpoint's answer.
@@ -214,16 +215,16 @@
 pub(super) fn refuse(
     worker: &Worker,
     refusal: &error::Refusal,
-    mut story: explain::RequestRecord,
+    mut record: explain::RequestRecord,
     begin_ms: u64,
 ) -> HttpResponse {
-    story.status = refusal.kind.answer().status;
-    story.outcome = refusal.kind.answer().code.into();
-    story.ran = refusal.ran.to_string().into();
-    story.total_ms = worker.now_ms() - begin_ms;
-    let response = refusal_response(refusal, &story.request);
-    count_outcome(worker, &story);
-    worker.common.ring.push(story);
+    record.status = refusal.kind.answer().status;
+    record.outcome = refusal.kind.answer().code.into();
+    record.ran = refusal.ran.to_string().into();
+    record.total_ms = worker.now_ms() - begin_ms;
+    let response = refusal_response(refusal, &record.request);
+    count_outcome(worker, &record);
+    worker.common.history.push(record);
     response
 }
 
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -243,7 +243,7 @@
     }
 
     /// Records whether the store answered a call for a topic.
-    pub(super) fn record_store_call(&self, topic: Topic, is_good: bool) {
+    pub(super) fn record_store_outcome(&self, topic: Topic, is_good: bool) {
         let mut failing = self.failing_topics.borrow_mut();
         let is_failing = failing.contains(&topic);
         if is_good && is_failing {
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -53,7 +53,7 @@
         // Each entry reads the topic once by itself: what peers send at its start may be outdated.
         let is_discovering = control.shared.time.age_ms() < DISCOVERY_MS;
         if from.is_some() && (is_discovering || !control.reads_store()) {
-            control.record_store_call(topic, true);
+            control.record_store_outcome(topic, true);
             // A past outage does not explain endpoints that are missing when this entry reads again.
             outage = outage::StoreOutage::new(leave_ms);
             time::sleep(STANDBY_CHECK).await;
@@ -70,7 +70,7 @@
         };
         let now_ms = control.now_ms();
         let is_good = !matches!(result, Err(WatchFailure::Failed(_)));
-        control.record_store_call(topic, is_good);
+        control.record_store_outcome(topic, is_good);
         match result {
             Ok(batch) => {
                 if let Some(away_ms) = outage.record_answer(now_ms) {
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct RejectedConfig {
     pub version: u64,
-    pub mistake: jsonc::Error,
+    pub error: jsonc::Error,
 }
 
 /// Which parts of the shared state a merge changed.
@@ -216,8 +216,8 @@
                     model: Arc::new(model),
                 });
             }
-            Err(mistake) => {
-                self.refused = Some(RejectedConfig { version: text.version, mistake });
+            Err(error) => {
+                self.refused = Some(RejectedConfig { version: text.version, error });
             }
         }
         self.newest = Some(text);
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -2,8 +2,8 @@
 //!
 //! The module does no I/O: it takes readings of the daemon's own boot clock and the answers of the store,
 //! and returns the next step. Wall clocks are never compared. A holder counts its term from before it
-//! sent the write. A rival counts the term of the same record version from when it first saw it, and
-//! waits for an additional margin. A takeover can therefore only succeed after the term has ended for
+//! sent the write. Another contender counts the term of the same record version from when it first saw it,
+//! and waits for an additional margin. A takeover can therefore only succeed after the term has ended for
 //! the holder, even if answers of the store are lost or late.
 
 mod contender;
@@ -35,12 +35,12 @@
 pub struct Timing {
     /// Length of a term.
     pub term_ms: u64,
-    /// How long a rival waits after the end of a term, and how long before the end a holder stops, to allow
-    /// for clocks that run at different rates.
+    /// How long another contender waits after the end of a term, and how long before the end a holder stops,
+    /// to allow for clocks that run at different rates.
     pub margin_ms: u64,
     /// How often a holder renews its term.
     pub renew_ms: u64,
-    /// How often a rival reads the record.
+    /// How often another contender reads the record.
     pub read_ms: u64,
     /// How often the record is read to learn the outcome of an unanswered write.
     pub settle_ms: u64,
@@ -78,11 +78,11 @@
     pub record: Record,
 }
 
-/// Notice about a term that its holder sends directly to its rivals.
+/// Notice about a term that its holder sends directly to the other contenders.
 ///
-/// A rival that knows when the term ends does not have to watch the record for a whole term, and a holder
+/// A contender that knows when the term ends does not have to watch the record for a whole term, and a holder
 /// that stops can release the lease while the store is unavailable. A notice cannot lead to two holders,
-/// because a rival still has to replace exactly the record version that the notice names.
+/// because a contender still has to replace exactly the record version that the notice names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermNotice {
     /// The store's version of the record.
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -166,7 +166,7 @@
         self.acted_ms = Some(now_ms);
     }
 
-    /// Returns the notice to send to rivals about a term held by this daemon.
+    /// Returns the notice to send to other contenders about a term held by this daemon.
     #[must_use]
     pub fn notice(&self, now_ms: u64) -> Option<TermNotice> {
         let (version, epoch) = self.last_held?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -196,7 +196,7 @@
 /// Parses and validates settings.
 ///
 /// # Errors
-/// The first mistake, with line and column.
+/// The first error, with line and column.
 pub fn parse<T: Validate>(text: &str) -> Result<T, jsonc::Error> {
     let document = jsonc::Document::parse(text)?;
     let settings: T = document.read()?;
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -117,9 +117,9 @@
         }
         self.config_version.set(active_config.version);
         let service = active_config.model.service(&self.service);
-        let text = service.map(|key| &active_config.model.service_at(key).spec);
-        self.slots.set(text.map_or(1, |text| text.slots as usize));
-        let max_queue = text.map_or(0, |text| text.max_queue as usize);
+        let spec = service.map(|key| &active_config.model.service_at(key).spec);
+        self.slots.set(spec.map_or(1, |spec| spec.slots as usize));
+        let max_queue = spec.map_or(0, |spec| spec.max_queue as usize);
         let rules = queue::ClassRule::of(&active_config.model);
         let mut old =
             self.queue.replace(queue::Queue::new(active_config.version, rules, max_queue));
--- a/src/side/run/call.rs
+++ b/src/side/run/call.rs
@@ -155,7 +155,7 @@
 
 fn saved(answer: &answer::Answer) -> claims::SavedAnswer {
     let (status, headers) =
-        answer.head.as_ref().map_or((502, Vec::new()), |top| (top.status, top.headers.clone()));
+        answer.head.as_ref().map_or((502, Vec::new()), |head| (head.status, head.headers.clone()));
     let short = answer.held_bytes() <= claims::MAX_ANSWER_BYTES;
     let body = short.then(|| answer.piece(0, claims::MAX_ANSWER_BYTES).to_vec());
     claims::SavedAnswer { status, headers, body }
--- a/tests/properties/answers.rs
+++ b/tests/properties/answers.rs
@@ -19,7 +19,7 @@
     Read,
     /// The link is lost, and the reader resumes at the offset that it has received.
     Resume,
-    LetGo {
+    Discard {
         behind: u64,
     },
 }
@@ -30,7 +30,7 @@
         (0..60_000_u64).prop_map(|bytes| Step::Credit { bytes }),
         Just(Step::Read),
         Just(Step::Resume),
-        (0..10_000_u64).prop_map(|behind| Step::LetGo { behind }),
+        (0..10_000_u64).prop_map(|behind| Step::Discard { behind }),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -74,7 +74,7 @@
                     reader = Reader::new(stream, offset, 500);
                     allowed = offset + 500;
                 }
-                Step::LetGo { behind } => {
+                Step::Discard { behind } => {
                     answer.discard_before((received.len() as u64).saturating_sub(behind));
                 }
             }
--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -125,8 +125,8 @@
 #[test]
 fn deep_nesting_is_refused() {
     for open in ["[", "{\"a\":"] {
-        let mistake = Config::parse(&open.repeat(100_000)).expect_err("too deep");
-        assert!(mistake.message.contains("nested deeper"), "{mistake}");
+        let error = Config::parse(&open.repeat(100_000)).expect_err("too deep");
+        assert!(error.message.contains("nested deeper"), "{error}");
     }
     // The parser of request bodies has its own nesting limit.
     assert!(openai::parse("[".repeat(100_000).as_bytes()).is_err());
--- a/tests/properties/lease.rs
+++ b/tests/properties/lease.rs
@@ -72,7 +72,7 @@
 /// How often daemons send each other notices about their leases.
 const NOTICE_INTERVAL_MS: u64 = 500;
 
-/// A notice in flight from a holder to all rivals.
+/// A notice in flight from a holder to all other contenders.
 #[derive(Clone, Copy, Debug)]
 struct Message {
     from: usize,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Returns the notice for its rivals, unless the daemon is frozen.
+    /// Returns the notice for the other contenders, unless the daemon is frozen.
     fn notice(&self, true_ms: u64) -> Option<TermNotice> {
         let is_frozen = self.in_flight.as_ref().is_some_and(|call| call.faults.frozen_ms > 0);
         if is_frozen { None } else { self.contender.notice(self.clock(true_ms)) }
@@ -254,7 +254,7 @@
             }
             for message in messages.extract_if(.., |message| message.at_ms <= true_ms) {
                 for (to, daemon) in daemons.iter_mut().enumerate() {
-                    // A rival that is waiting for a call misses this notice and gets a later one.
+                    // A contender that is waiting for a call misses this notice and gets a later one.
                     if to != message.from && daemon.in_flight.is_none() {
                         let clock = daemon.clock(true_ms);
                         daemon.contender.receive_notice(message.notice, clock);
@@ -304,7 +304,7 @@
 }
 
 /// Guards against a holder that acts after a pause although its term has ended. Its own clock must show the
-/// end of the term before a rival can start; the gap between the two is twice the margin.
+/// end of the term before another contender can start; the gap between the two is twice the margin.
 #[test]
 fn woken_holder_knows_that_its_term_is_over() {
     let mut holder = Contender::new("holder".into(), 1, TIMING);
@@ -330,8 +330,8 @@
     holder.release();
     assert_eq!(holder.epoch(20), None, "the holder no longer acts");
     let Step::Write(write) = holder.step(20) else { panic!("the holder releases the lease") };
-    let mut rival = Contender::new("rival".into(), 2, TIMING);
-    rival.read(VersionedRecord { version: 2, record: Some(write.record) }, 30, 30);
-    let Step::Write(taken) = rival.step(30) else { panic!("the rival does not wait") };
+    let mut contender = Contender::new("rival".into(), 2, TIMING);
+    contender.read(VersionedRecord { version: 2, record: Some(write.record) }, 30, 30);
+    let Step::Write(taken) = contender.step(30) else { panic!("the contender does not wait") };
     assert_eq!(taken.record.epoch, Epoch(2));
 }
