--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -19,7 +19,7 @@
 use super::fleet::{datagrams, exchange, members, peers, prefix_recovery, pulls};
 use super::policy::budget;
 use super::{directory, evacuation, request, route, shared, watch};
-use crate::{bound, clock, lease, seal, store};
+use crate::{clock, lease, seal, sockets, store};
 
 /// A kind of objects that is followed in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -123,12 +123,12 @@
     pub(super) socket: UdpSocket,
     /// Whether this entry holds the duties.
     pub(super) holds_duties: Cell<bool>,
-    /// The announcement of a lease held here, with its time.
-    pub(super) own_lease: Cell<Option<(lease::Told, u64)>>,
-    /// The newest announcement of another entry's lease, with its time of receipt, to be relayed.
-    pub(super) relayed_lease: Cell<Option<(lease::Told, u64)>>,
-    /// The last announcement by a holder that the election has not processed yet, with its time of receipt.
-    pub(super) received_lease: Cell<Option<(lease::Told, u64)>>,
+    /// The notice about a term held here, with its time.
+    pub(super) own_term_notice: Cell<Option<(lease::TermNotice, u64)>>,
+    /// The newest notice about the term of another entry, with its time of receipt, to be relayed.
+    pub(super) relayed_term_notice: Cell<Option<(lease::TermNotice, u64)>>,
+    /// The last notice of a holder that the election has not processed yet, with its time of receipt.
+    pub(super) received_term_notice: Cell<Option<(lease::TermNotice, u64)>>,
     /// Whether the store answered the last read of the lease.
     pub(super) is_lease_readable: Cell<bool>,
     /// How far this entry has recovered the state that its peers have from before its start.
@@ -160,7 +160,7 @@
     shared: Arc<shared::Shared>,
     platform: impl FnOnce() -> P + Send + 'static,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     std::thread::Builder::new().name("control".to_owned()).spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
@@ -179,7 +179,7 @@
     shared: Arc<shared::Shared>,
     platform: impl FnOnce() -> P,
     log: slog::Logger,
-    sockets: bound::Pair,
+    sockets: sockets::TcpUdpPair,
 ) -> anyhow::Result<()> {
     let listener = TcpListener::from_std(sockets.tcp)?;
     let control = Rc::new(Control {
@@ -196,9 +196,9 @@
         store_silent: Notify::new(),
         socket: UdpSocket::from_std(sockets.udp)?,
         holds_duties: Cell::new(false),
-        own_lease: Cell::new(None),
-        relayed_lease: Cell::new(None),
-        received_lease: Cell::new(None),
+        own_term_notice: Cell::new(None),
+        relayed_term_notice: Cell::new(None),
+        received_term_notice: Cell::new(None),
         is_lease_readable: Cell::new(true),
         soft_state_pull: RefCell::default(),
         has_endpoint_list: Cell::new(false),
