--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,19 +1,19 @@
-//! The rules of the operators' text, each with the path and the sentence of its mistake.
+//! Validation of the configuration. Each rule reports the path of the offending value and a message.
 
 use std::collections::HashMap;
 
 use compact_str::CompactString;
 
 use super::{
-    Account, AccountKey, Billing, Class, ClassKey, Config, MAX_GUARANTEED_PPM, Service, ServiceKey,
-    ServiceKind, Text,
+    Account, AccountKey, Billing, Class, ClassKey, Config, ConfigSpec, MAX_GUARANTEED_PPM, Service,
+    ServiceKey, ServiceKind,
 };
 use crate::jsonc;
 
 const MAX_NAME_CHARS: usize = 64;
 
-/// The first rule broken: where, and a sentence.
-pub(super) type Broken = (jsonc::Path, String);
+/// The first rule that is violated: path of the value and message.
+pub(super) type Violation = (jsonc::Path, String);
 
 fn index<'a, K>(
     names: impl Iterator<Item = &'a CompactString>,
@@ -22,108 +22,117 @@
     names.enumerate().map(|(at, name)| (name.clone(), key(at))).collect()
 }
 
-fn check_names(text: &Text) -> Result<(), Broken> {
+fn check_names(spec: &ConfigSpec) -> Result<(), Violation> {
     let groups = [
-        ("classes", text.classes.keys().collect::<Vec<_>>()),
-        ("services", text.services.keys().collect()),
-        ("accounts", text.accounts.keys().collect()),
+        ("classes", spec.classes.keys().collect::<Vec<_>>()),
+        ("services", spec.services.keys().collect()),
+        ("accounts", spec.accounts.keys().collect()),
     ];
     for (group, names) in groups {
         if names.len() >= usize::from(u16::MAX) {
             return Err((crate::path![group], format!("too many {group}")));
         }
         for name in names {
-            let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-            if name.is_empty() || name.chars().count() > MAX_NAME_CHARS || !name.chars().all(plain)
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+            if name.is_empty()
+                || name.chars().count() > MAX_NAME_CHARS
+                || !name.chars().all(is_allowed)
             {
-                let sentence = format!(
-                    "`{name}` is no name: 1 to {MAX_NAME_CHARS} letters, digits, `-`, `_` or `.`"
+                let message = format!(
+                    "`{name}` is not a valid name: use 1 to {MAX_NAME_CHARS} letters, digits, `-`, `_` or `.`"
                 );
-                return Err((crate::path![group, name.as_str()], sentence));
+                return Err((crate::path![group, name.as_str()], message));
             }
         }
     }
     Ok(())
 }
 
-fn check_classes(text: &Text) -> Result<(), Broken> {
-    if text.classes.is_empty() {
+fn check_classes(spec: &ConfigSpec) -> Result<(), Violation> {
+    if spec.classes.is_empty() {
         return Err((crate::path!["classes"], "at least one class is needed".to_owned()));
     }
     let mut guaranteed_ppm = 0_u64;
-    for (name, class) in &text.classes {
+    for (name, class) in &spec.classes {
         let at = |field: &str| crate::path!["classes", name.as_str(), field];
         if class.latency_target_ms == 0 {
             return Err((at("latency_target_ms"), "the latency target is zero".to_owned()));
         }
         if class.guaranteed_ppm == 0 {
-            let sentence = "a class without a guaranteed share could wait forever";
-            return Err((at("guaranteed_ppm"), sentence.to_owned()));
+            let message = "a class without a guaranteed share could wait forever";
+            return Err((at("guaranteed_ppm"), message.to_owned()));
         }
         guaranteed_ppm = guaranteed_ppm.saturating_add(class.guaranteed_ppm);
         if guaranteed_ppm > MAX_GUARANTEED_PPM {
-            let sentence = format!(
-                "the guaranteed shares come to {guaranteed_ppm} ppm, over {MAX_GUARANTEED_PPM}"
+            let message = format!(
+                "the guaranteed shares add up to {guaranteed_ppm} ppm, over the limit of {MAX_GUARANTEED_PPM}"
             );
-            return Err((at("guaranteed_ppm"), sentence));
+            return Err((at("guaranteed_ppm"), message));
         }
     }
     Ok(())
 }
 
 fn check_models(
-    text: &Text,
+    spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
-) -> Result<HashMap<CompactString, ServiceKey>, Broken> {
+) -> Result<HashMap<CompactString, ServiceKey>, Violation> {
     let mut models = HashMap::new();
-    for (name, service) in &text.services {
+    for (name, service) in &spec.services {
         let at = crate::path!["services", name.as_str(), "models"];
         let is_engine = service.kind == ServiceKind::Engine;
         if is_engine == service.models.is_empty() {
-            let sentence = if is_engine {
-                format!("the engine service `{name}` names no model")
+            let message = if is_engine {
+                format!("the engine service `{name}` lists no models")
             } else {
-                format!("the plain service `{name}` has no models")
+                format!("the plain service `{name}` must not list models")
             };
-            return Err((at, sentence));
+            return Err((at, message));
         }
         for (place, model) in service.models.iter().enumerate() {
             if models.insert(model.clone(), names[name]).is_some() {
                 let path = crate::path!["services", name.as_str(), "models", place];
-                return Err((path, format!("the model `{model}` stands twice")));
+                return Err((path, format!("the model `{model}` is listed twice")));
             }
         }
     }
     Ok(models)
 }
 
-/// For each service all it needs, in the text's order; refuses unknown names and cycles.
+/// Returns the transitive dependencies of each service, in the order of the services; rejects unknown
+/// names and cycles.
 fn check_dependencies(
-    text: &Text,
+    spec: &ConfigSpec,
     names: &HashMap<CompactString, ServiceKey>,
-) -> Result<Vec<Vec<ServiceKey>>, Broken> {
-    for (name, service) in &text.services {
+) -> Result<Vec<Vec<ServiceKey>>, Violation> {
+    for (name, service) in &spec.services {
         for (place, needed) in service.depends_on.iter().enumerate() {
             if !names.contains_key(needed) {
                 let path = crate::path!["services", name.as_str(), "depends_on", place];
-                return Err((path, format!("`{needed}` is no service of this text")));
+                return Err((
+                    path,
+                    format!("the service `{needed}` is not defined in this configuration"),
+                ));
             }
         }
     }
-    text.services
+    spec.services
         .keys()
         .map(|name| {
             let mut needs = Vec::new();
-            let mut open = vec![name];
-            while let Some(current) = open.pop() {
-                for needed in &text.services[current].depends_on {
+            let mut pending = vec![name];
+            while let Some(current) = pending.pop() {
+                for needed in &spec.services[current].depends_on {
                     if needed == name {
                         let path = crate::path!["services", name.as_str(), "depends_on"];
-                        return Err((path, format!("`{name}` depends on itself through a cycle")));
+                        return Err((
+                            path,
+                            format!("the service `{name}` depends on itself through a cycle"),
+                        ));
                     }
                     if !needs.contains(&names[needed]) {
                         needs.push(names[needed]);
-                        open.push(needed);
+                        pending.push(needed);
                     }
                 }
             }
@@ -133,42 +142,45 @@
 }
 
 fn check_services(
-    text: &Text,
+    spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
     needs: Vec<Vec<ServiceKey>>,
-) -> Result<Vec<Service>, Broken> {
+) -> Result<Vec<Service>, Violation> {
     let mut services = Vec::new();
-    for ((name, service), needs) in text.services.iter().zip(needs) {
+    for ((name, service), needs) in spec.services.iter().zip(needs) {
         let at = |field: &str| crate::path!["services", name.as_str(), field];
         let default_class = find_class(classes, &service.default_class, at("default_class"))?;
         if service.slots == 0 {
             return Err((at("slots"), "an endpoint needs at least one slot".to_owned()));
         }
-        if (service.max_queue as usize) < text.classes.len() {
-            let sentence = "the queue needs at least one place for each class";
-            return Err((at("max_queue"), sentence.to_owned()));
+        if (service.max_queue as usize) < spec.classes.len() {
+            let message = "the queue needs at least one place for each class";
+            return Err((at("max_queue"), message.to_owned()));
         }
         if service.endpoints.least > service.endpoints.most {
             return Err((at("endpoints"), "`least` is greater than `most`".to_owned()));
         }
-        let text = service.clone();
-        services.push(Service { name: name.clone(), text, default_class, needs });
+        let spec = service.clone();
+        services.push(Service { name: name.clone(), spec, default_class, needs });
     }
     Ok(services)
 }
 
 fn check_accounts(
-    text: &Text,
+    spec: &ConfigSpec,
     classes: &HashMap<CompactString, ClassKey>,
-) -> Result<Vec<Account>, Broken> {
+) -> Result<Vec<Account>, Violation> {
     let mut accounts = Vec::new();
-    for (name, account) in &text.accounts {
+    for (name, account) in &spec.accounts {
         let at = |field: &str| crate::path!["accounts", name.as_str(), field];
         if account.share == 0 {
             return Err((at("share"), "the share is zero".to_owned()));
         }
         if account.tokens_per_s == Some(0) {
-            return Err((at("tokens_per_s"), "the account could never send anything".to_owned()));
+            return Err((
+                at("tokens_per_s"),
+                "a rate of zero tokens per second would refuse every request".to_owned(),
+            ));
         }
         let default_class = account
             .default_class
@@ -186,7 +198,7 @@
     Ok(accounts)
 }
 
-fn check_billing(billing: Billing) -> Result<(), Broken> {
+fn check_billing(billing: Billing) -> Result<(), Violation> {
     if billing.window_s == 0 {
         return Err((crate::path!["billing", "window_s"], "the window is zero".to_owned()));
     }
@@ -197,28 +209,31 @@
     classes: &HashMap<CompactString, ClassKey>,
     name: &CompactString,
     path: jsonc::Path,
-) -> Result<ClassKey, Broken> {
-    classes.get(name).copied().ok_or_else(|| (path, format!("`{name}` is no class of this text")))
+) -> Result<ClassKey, Violation> {
+    classes
+        .get(name)
+        .copied()
+        .ok_or_else(|| (path, format!("the class `{name}` is not defined in this configuration")))
 }
 
-/// Checks a text and makes its model.
-pub(super) fn build(text: Text) -> Result<Config, Broken> {
-    check_names(&text)?;
-    check_classes(&text)?;
-    let class_names = index(text.classes.keys(), |at| ClassKey(at as u16));
-    let service_names = index(text.services.keys(), |at| ServiceKey(at as u16));
-    let account_names = index(text.accounts.keys(), |at| AccountKey(at as u32));
-    let model_names = check_models(&text, &service_names)?;
-    let needs = check_dependencies(&text, &service_names)?;
-    let services = check_services(&text, &class_names, needs)?;
-    let accounts = check_accounts(&text, &class_names)?;
-    check_billing(text.billing)?;
-    let classes = text.classes.into_iter().map(|(name, text)| Class { name, text }).collect();
+/// Validates a configuration and builds its indexed model.
+pub(super) fn build(spec: ConfigSpec) -> Result<Config, Violation> {
+    check_names(&spec)?;
+    check_classes(&spec)?;
+    let class_names = index(spec.classes.keys(), |at| ClassKey(at as u16));
+    let service_names = index(spec.services.keys(), |at| ServiceKey(at as u16));
+    let account_names = index(spec.accounts.keys(), |at| AccountKey(at as u32));
+    let model_names = check_models(&spec, &service_names)?;
+    let needs = check_dependencies(&spec, &service_names)?;
+    let services = check_services(&spec, &class_names, needs)?;
+    let accounts = check_accounts(&spec, &class_names)?;
+    check_billing(spec.billing)?;
+    let classes = spec.classes.into_iter().map(|(name, spec)| Class { name, spec }).collect();
     Ok(Config {
         classes,
         services,
         accounts,
-        billing: text.billing,
+        billing: spec.billing,
         class_names,
         service_names,
         account_names,
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -60,7 +60,7 @@
     /// whose holder is missed would run a second time elsewhere.
     pub(super) async fn ask(
         &self,
-        places: &[&membership::Place],
+        places: &[&membership::EndpointLocation],
         ask: &wire::Ask,
         limit_ms: u64,
     ) -> Vec<ReceivedOffer> {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -25,8 +25,8 @@
 use tokio::{task, time};
 
 use crate::{
-    admin, admission, control, explain, hub, logging, membership, metric, placement, retry, seal,
-    settings, sockets, spread, trace,
+    admin, admission, control, explain, gossip, hub, logging, membership, metric, placement, retry,
+    seal, settings, sockets, trace,
 };
 
 /// How long an idle caller connection is kept open.
@@ -46,7 +46,7 @@
     log: slog::Logger,
     secret: seal::Secret,
     spans: trace::Sink,
-    ring: Arc<explain::Ring>,
+    ring: Arc<explain::RequestHistory>,
     /// Number of requests in progress.
     active: AtomicUsize,
 }
@@ -77,7 +77,7 @@
     let stop = logging::stop_signal();
     let hub = Arc::new(hub::Hub::default());
     let metrics = metric::install()?;
-    let ring = Arc::new(explain::Ring::default());
+    let ring = Arc::new(explain::RequestHistory::default());
     let identity = control::Identity {
         role: membership::Role::Entry,
         work_addr: None,
@@ -171,7 +171,7 @@
         worker
     }
 
-    fn snapshot(&self) -> Arc<spread::Snapshot> {
+    fn snapshot(&self) -> Arc<gossip::Snapshot> {
         self.common.hub.snapshot.load_full()
     }
 
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -26,7 +26,7 @@
     worker: &Rc<Worker>,
     request: intake::Request,
     active: intake::Active,
-    mut story: explain::Story,
+    mut story: explain::RequestRecord,
     span: trace::Span,
 ) -> HttpResponse {
     let begin_ms = request.arrived_ms;
@@ -48,7 +48,7 @@
 async fn open(
     worker: &Rc<Worker>,
     request: &intake::Request,
-    story: &mut explain::Story,
+    story: &mut explain::RequestRecord,
 ) -> Result<(Reader, wire::Head), error::Refusal> {
     check_dependencies(worker, request)?;
     let mut tried: HashSet<placement::Target> = HashSet::new();
@@ -108,7 +108,7 @@
     let region = &worker.common.settings.daemon.region;
     for needed in &active_config.model.service_at(service).needs {
         let name = &active_config.model.service_at(*needed).name;
-        if request.snapshot.places(region, name).is_empty() {
+        if request.snapshot.endpoints(region, name).is_empty() {
             return Err(error::Refusal::not_run(error::Kind::DependencyDown)
                 .detail(format!("(`{name}`)"))
                 .retry_after_ms(5_000));
@@ -152,7 +152,7 @@
         idempotency: request.idempotency,
         request_digest: request.request_digest,
         repeatable: request.repeatable,
-        take_up: false,
+        resume: false,
         from_offset: 0,
         trace: request.trace,
         credit_bytes: 0,
@@ -169,7 +169,7 @@
 ) -> Option<placement::Target> {
     let daemon = &worker.common.settings.daemon;
     let snapshot = worker.snapshot();
-    let places = snapshot.places(&daemon.region, &request.service);
+    let places = snapshot.endpoints(&daemon.region, &request.service);
     let span = trace::Span::start("ask", request.trace);
     let ask = wire::Ask {
         nonce: 0,
@@ -208,10 +208,10 @@
 fn candidates<'a>(
     worker: &Worker,
     request: &intake::Request,
-    places: &'a [membership::Place],
+    places: &'a [membership::EndpointLocation],
     tried: &HashSet<placement::Target>,
     skip_backed_off: bool,
-) -> Vec<&'a membership::Place> {
+) -> Vec<&'a membership::EndpointLocation> {
     let now_ms = worker.now_ms();
     let backoffs = worker.backoffs.borrow();
     let avoid = |target| {
@@ -227,10 +227,10 @@
 }
 
 fn best_offer<'a>(
-    asked: &[&'a membership::Place],
+    asked: &[&'a membership::EndpointLocation],
     offers: &[asks::ReceivedOffer],
     own_zone: &str,
-) -> Option<&'a membership::Place> {
+) -> Option<&'a membership::EndpointLocation> {
     let cost = |received: &asks::ReceivedOffer| {
         let place = asked.iter().find(|place| placement::Target::of(place) == received.target)?;
         if received.offer.holds_answer {
@@ -243,10 +243,13 @@
     offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, place)| place)
 }
 
-fn describe_ask(place: &membership::Place, offers: &[asks::ReceivedOffer]) -> explain::Asked {
+fn describe_ask(
+    place: &membership::EndpointLocation,
+    offers: &[asks::ReceivedOffer],
+) -> explain::Candidate {
     let target = placement::Target::of(place);
     let offer = offers.iter().find(|received| received.target == target);
-    explain::Asked {
+    explain::Candidate {
         endpoint: place.id.clone(),
         zone: place.zone.clone(),
         first_token_ms: offer.map(|received| received.offer.first_token_ms),
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of its last requests, so that it can say what it did and why.
+//! Records of the latest requests of an entry, which explain how each was handled and why.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -6,30 +6,30 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Requests remembered; about half a kilobyte each.
-const REMEMBERED: usize = 4096;
+/// Number of records kept; each takes about 0.5 kB.
+const MAX_RECORDS: usize = 4096;
 
-/// One offer that was weighed.
+/// An endpoint that was asked for an offer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Candidate {
     pub endpoint: CompactString,
     pub zone: CompactString,
-    /// `None`: no answer came in time.
+    /// Offered time to first token; `None` if no answer came in time.
     pub first_token_ms: Option<u32>,
     pub knows_prefix: bool,
 }
 
-/// One try to get a request served.
+/// One attempt to have a request served.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Attempt {
-    pub asked: Vec<Asked>,
+    pub asked: Vec<Candidate>,
     pub chosen: Option<CompactString>,
     pub outcome: CompactString,
 }
 
-/// What happened to one request.
+/// How one request was handled.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Story {
+pub struct RequestRecord {
     pub request: CompactString,
     pub trace_id: String,
     pub account: CompactString,
@@ -48,26 +48,26 @@
     pub body_bytes: u64,
 }
 
-/// The last requests, oldest dropped first.
+/// The records of the latest requests; the oldest one is dropped first.
 #[derive(Debug, Default)]
-pub struct Ring {
-    stories: Mutex<VecDeque<Story>>,
+pub struct RequestHistory {
+    records: Mutex<VecDeque<RequestRecord>>,
 }
 
-impl Ring {
-    pub fn push(&self, story: Story) {
-        let Ok(mut stories) = self.stories.lock() else {
+impl RequestHistory {
+    pub fn push(&self, record: RequestRecord) {
+        let Ok(mut records) = self.records.lock() else {
             return;
         };
-        if stories.len() == REMEMBERED {
-            stories.pop_front();
+        if records.len() == MAX_RECORDS {
+            records.pop_front();
         }
-        stories.push_back(story);
+        records.push_back(record);
     }
 
     #[must_use]
-    pub fn find(&self, request: &str) -> Option<Story> {
-        let stories = self.stories.lock().ok()?;
-        stories.iter().rev().find(|story| story.request == request).cloned()
+    pub fn find(&self, request: &str) -> Option<RequestRecord> {
+        let records = self.records.lock().ok()?;
+        records.iter().rev().find(|record| record.request == request).cloned()
     }
 }
--- a/src/side/endpoint.rs
+++ b/src/side/endpoint.rs
@@ -6,7 +6,7 @@
 
 use compact_str::CompactString;
 
-use crate::{config, latency, lease, orders, queue, settings, spread};
+use crate::{config, gossip, latency, lease, orders, queue, settings};
 
 /// Number of recent requests whose prompt prefix is remembered.
 const MAX_RECENT_PREFIXES: usize = 1024;
@@ -109,7 +109,7 @@
     /// again and the configuration that is now active.
     pub fn apply_config(
         &self,
-        snapshot: &spread::Snapshot,
+        snapshot: &gossip::Snapshot,
     ) -> Option<(Vec<queue::Job>, Arc<config::Config>)> {
         let active_config = snapshot.config.as_ref()?;
         if active_config.version == self.config_version.get() {
@@ -117,7 +117,7 @@
         }
         self.config_version.set(active_config.version);
         let service = active_config.model.service(&self.service);
-        let text = service.map(|key| &active_config.model.service_at(key).text);
+        let text = service.map(|key| &active_config.model.service_at(key).spec);
         self.slots.set(text.map_or(1, |text| text.slots as usize));
         let max_queue = text.map_or(0, |text| text.max_queue as usize);
         let rules = queue::ClassRule::of(&active_config.model);
--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -119,7 +119,7 @@
         let wire::ToSide::Submit(submit) = frame else {
             continue;
         };
-        if submit.take_up {
+        if submit.resume {
             side.resumed_runs.fetch_add(1, Ordering::Relaxed);
         } else {
             let prompt = prompt_of(&submit);
--- a/tests/properties/bytes.rs
+++ b/tests/properties/bytes.rs
@@ -50,7 +50,7 @@
         let _ = openai::parse(text.as_bytes());
         let _ = trace::Context::parse(&text);
         let _ = keys::Table::default().check(&text);
-        let _ = keys::id_of(&text);
+        let _ = keys::parse_id(&text);
     }
 
     /// Guards against a panic on any datagram, and against opening one that was not sealed.
@@ -126,7 +126,7 @@
 fn deep_nesting_is_refused() {
     for open in ["[", "{\"a\":"] {
         let mistake = Config::parse(&open.repeat(100_000)).expect_err("too deep");
-        assert!(mistake.sentence.contains("nested deeper"), "{mistake}");
+        assert!(mistake.message.contains("nested deeper"), "{mistake}");
     }
     // The parser of request bodies has its own nesting limit.
     assert!(openai::parse("[".repeat(100_000).as_bytes()).is_err());
