--- a/src/admin.rs
+++ b/src/admin.rs
@@ -158,9 +158,9 @@
         store_up: hub.store_up.load(Ordering::Relaxed),
         config_version: snapshot.config_version(),
         config_refused: shared
-            .refused
+            .rejected_config
             .as_ref()
-            .map(|refused| format!("version {}: {}", refused.version, refused.error)),
+            .map(|rejected| format!("version {}: {}", rejected.version, rejected.error)),
         keys_revision: shared.keys.revision(),
         keys: shared.keys.len(),
         roster_revision: shared.roster.revision,
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -89,9 +89,9 @@
             };
             return Err((at, message));
         }
-        for (place, model) in service.models.iter().enumerate() {
+        for (index, model) in service.models.iter().enumerate() {
             if models.insert(model.clone(), names[name]).is_some() {
-                let path = crate::path!["services", name.as_str(), "models", place];
+                let path = crate::path!["services", name.as_str(), "models", index];
                 return Err((path, format!("the model `{model}` is listed twice")));
             }
         }
@@ -106,9 +106,9 @@
     names: &HashMap<CompactString, ServiceKey>,
 ) -> Result<Vec<Vec<ServiceKey>>, Violation> {
     for (name, service) in &spec.services {
-        for (place, needed) in service.depends_on.iter().enumerate() {
+        for (index, needed) in service.depends_on.iter().enumerate() {
             if !names.contains_key(needed) {
-                let path = crate::path!["services", name.as_str(), "depends_on", place];
+                let path = crate::path!["services", name.as_str(), "depends_on", index];
                 return Err((
                     path,
                     format!("the service `{needed}` is not defined in this configuration"),
--- a/src/control.rs
+++ b/src/control.rs
@@ -264,9 +264,9 @@
     }
 
     fn log_config(&self, shared: &gossip::SharedState) {
-        match &shared.refused {
-            Some(refused) => slog::error!(self.log, "configuration refused";
-                "version" => refused.version, "mistake" => refused.error.to_string()),
+        match &shared.rejected_config {
+            Some(rejected) => slog::error!(self.log, "configuration refused";
+                "version" => rejected.version, "mistake" => rejected.error.to_string()),
             None => slog::info!(self.log, "configuration in force";
                 "version" => shared.config.as_ref().map_or(0, |config| config.version)),
         }
--- a/src/entry/asks.rs
+++ b/src/entry/asks.rs
@@ -60,32 +60,32 @@
     /// whose holder is missed would run a second time elsewhere.
     pub(super) async fn ask(
         &self,
-        places: &[&membership::EndpointLocation],
+        locations: &[&membership::EndpointLocation],
         ask: &wire::Ask,
         limit_ms: u64,
     ) -> Vec<ReceivedOffer> {
-        if places.is_empty() {
+        if locations.is_empty() {
             return Vec::new();
         }
         let round = Rc::new(Round::default());
         let expires_at_ms = self.now_ms() + 2 * limit_ms;
-        for place in places {
+        for location in locations {
             let nonce = rand::random();
-            let target = placement::Target::of(place);
-            let ask = wire::Ask { nonce, endpoint: place.endpoint, ..ask.clone() };
+            let target = placement::Target::of(location);
+            let ask = wire::Ask { nonce, endpoint: location.endpoint, ..ask.clone() };
             let pending = Pending { target, expires_at_ms, round: Rc::clone(&round) };
             self.asks.pending.borrow_mut().insert(nonce, pending);
             let sealed = seal::seal_datagram(&self.common.secret, &wire::Datagram::Ask(ask));
             if let (Some(socket), Ok(bytes)) = (&self.asks.socket, sealed) {
                 // A failed send has the same effect as an endpoint that does not answer.
-                let _ = socket.try_send_to(&bytes, place.work_addr);
+                let _ = socket.try_send_to(&bytes, location.work_addr);
             }
         }
         let limit = Duration::from_millis(limit_ms);
         let collect = async {
             match ask.idempotency {
-                Some(_) => wait_for_holder(&round, places.len()).await,
-                None => wait_for_offers(&round, places.len()).await,
+                Some(_) => wait_for_holder(&round, locations.len()).await,
+                None => wait_for_offers(&round, locations.len()).await,
             }
         };
         let _ = time::timeout(limit, collect).await;
--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -290,7 +290,7 @@
             return Err(refuse(error::Kind::InvalidRequest).detail("The method is POST."));
         }
         let completion = openai::parse(body)
-            .map_err(|sentence| refuse(error::Kind::InvalidRequest).detail(sentence))?;
+            .map_err(|detail| refuse(error::Kind::InvalidRequest).detail(detail))?;
         let service = config.model(&completion.model).ok_or_else(|| {
             refuse(error::Kind::UnknownModel).detail(format!("(`{}`)", completion.model))
         })?;
--- a/src/entry/reader.rs
+++ b/src/entry/reader.rs
@@ -192,9 +192,9 @@
         }
     }
 
-    fn fail(&mut self, sentence: &str) -> error::Refusal {
+    fn fail(&mut self, detail: &str) -> error::Refusal {
         self.source = Source::Ended;
-        error::Refusal::unknown(error::Kind::Internal).detail(sentence)
+        error::Refusal::unknown(error::Kind::Internal).detail(detail)
     }
 
     fn end(&mut self) {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -169,7 +169,7 @@
 ) -> Option<placement::Target> {
     let daemon = &worker.common.settings.daemon;
     let snapshot = worker.snapshot();
-    let places = snapshot.endpoints(&daemon.region, &request.service);
+    let locations = snapshot.endpoints(&daemon.region, &request.service);
     let span = trace::Span::start("ask", request.trace);
     let ask = wire::Ask {
         nonce: 0,
@@ -190,9 +190,9 @@
         // Asks can be lost, and sides can stall briefly. The request has not been submitted yet, so
         // another round with a longer limit, which includes endpoints in backoff, costs only time,
         // whereas a refusal would fail the caller's request.
-        let asked = candidates(worker, request, places, tried, round == 0);
+        let asked = candidates(worker, request, locations, tried, round == 0);
         let offers = worker.ask(&asked, &ask, limit_ms).await;
-        attempt.asked.extend(asked.iter().map(|place| describe_ask(place, &offers)));
+        attempt.asked.extend(asked.iter().map(|location| describe_ask(location, &offers)));
         best = best_offer(&asked, &offers, &daemon.zone);
         if best.is_some() || asked.is_empty() && round > 0 {
             break;
@@ -208,7 +208,7 @@
 fn candidates<'a>(
     worker: &Worker,
     request: &intake::Request,
-    places: &'a [membership::EndpointLocation],
+    locations: &'a [membership::EndpointLocation],
     tried: &HashSet<placement::Target>,
     skip_backed_off: bool,
 ) -> Vec<&'a membership::EndpointLocation> {
@@ -223,7 +223,7 @@
         None => worker.common.settings.ask_width,
     };
     let zone = &worker.common.settings.daemon.zone;
-    placement::pick(places, zone, request.prefix, width, avoid, &mut rand::rng())
+    placement::pick(locations, zone, request.prefix, width, avoid, &mut rand::rng())
 }
 
 fn best_offer<'a>(
@@ -232,26 +232,27 @@
     own_zone: &str,
 ) -> Option<&'a membership::EndpointLocation> {
     let cost = |received: &asks::ReceivedOffer| {
-        let place = asked.iter().find(|place| placement::Target::of(place) == received.target)?;
+        let location =
+            asked.iter().find(|location| placement::Target::of(location) == received.target)?;
         if received.offer.holds_answer {
-            return Some((0, *place));
+            return Some((0, *location));
         }
-        let same_zone = place.zone == own_zone;
+        let same_zone = location.zone == own_zone;
         (!received.offer.leaving)
-            .then(|| (1 + placement::cost_ms(&received.offer, same_zone), *place))
+            .then(|| (1 + placement::cost_ms(&received.offer, same_zone), *location))
     };
-    offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, place)| place)
+    offers.iter().filter_map(cost).min_by_key(|(cost_ms, _)| *cost_ms).map(|(_, location)| location)
 }
 
 fn describe_ask(
-    place: &membership::EndpointLocation,
+    location: &membership::EndpointLocation,
     offers: &[asks::ReceivedOffer],
 ) -> explain::Candidate {
-    let target = placement::Target::of(place);
+    let target = placement::Target::of(location);
     let offer = offers.iter().find(|received| received.target == target);
     explain::Candidate {
-        endpoint: place.id.clone(),
-        zone: place.zone.clone(),
+        endpoint: location.id.clone(),
+        zone: location.zone.clone(),
         first_token_ms: offer.map(|received| received.offer.first_token_ms),
         knows_prefix: offer.is_some_and(|received| received.offer.knows_prefix),
     }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -64,7 +64,8 @@
     pub config: Option<ActiveConfig>,
     /// The newest text seen, valid or not; an invalid one is replicated so that all daemons reject it.
     newest: Option<wire::ConfigText>,
-    pub refused: Option<RejectedConfig>,
+    /// The newest text, if it is invalid.
+    pub rejected_config: Option<RejectedConfig>,
     pub keys: Arc<keys::Table>,
     pub roster: platform::Roster,
     pub fleet: membership::Fleet,
@@ -209,7 +210,7 @@
         }
         match config::Config::parse(&text.text) {
             Ok(model) => {
-                self.refused = None;
+                self.rejected_config = None;
                 self.config = Some(ActiveConfig {
                     version: text.version,
                     text: text.text.clone(),
@@ -217,7 +218,7 @@
                 });
             }
             Err(error) => {
-                self.refused = Some(RejectedConfig { version: text.version, error });
+                self.rejected_config = Some(RejectedConfig { version: text.version, error });
             }
         }
         self.newest = Some(text);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -31,8 +31,8 @@
 
 impl Target {
     #[must_use]
-    pub fn of(place: &membership::EndpointLocation) -> Self {
-        Self { work_addr: place.work_addr, endpoint: place.endpoint }
+    pub fn of(location: &membership::EndpointLocation) -> Self {
+        Self { work_addr: location.work_addr, endpoint: location.endpoint }
     }
 }
 
@@ -73,7 +73,7 @@
 
 /// Picks at most `width` endpoints to ask, leaving out those that `avoid` matches.
 pub fn pick<'a>(
-    places: &'a [membership::EndpointLocation],
+    locations: &'a [membership::EndpointLocation],
     own_zone: &str,
     prefix: u64,
     width: usize,
@@ -81,9 +81,9 @@
     random: &mut impl Rng,
 ) -> Vec<&'a membership::EndpointLocation> {
     let open: Vec<&membership::EndpointLocation> =
-        places.iter().filter(|place| !avoid(Target::of(place))).collect();
+        locations.iter().filter(|location| !avoid(Target::of(location))).collect();
     let near: Vec<&membership::EndpointLocation> =
-        open.iter().copied().filter(|place| place.zone == own_zone).collect();
+        open.iter().copied().filter(|location| location.zone == own_zone).collect();
     let mut picked: Vec<&membership::EndpointLocation> = Vec::with_capacity(width);
     picked.extend(rendezvous(&open, prefix));
     // At least one endpoint of another zone is asked if there is one. Otherwise a zone whose endpoints
@@ -91,7 +91,7 @@
     let near_wanted = if near.len() < open.len() { width.saturating_sub(1) } else { width };
     for (group, wanted) in [(&near, near_wanted), (&open, width)] {
         let left: Vec<&membership::EndpointLocation> =
-            group.iter().copied().filter(|place| !picked.contains(place)).collect();
+            group.iter().copied().filter(|location| !picked.contains(location)).collect();
         let missing = wanted.saturating_sub(picked.len());
         picked.extend(left.choose_multiple(random, missing).copied());
     }
@@ -99,10 +99,13 @@
 }
 
 fn rendezvous<'a>(
-    places: &[&'a membership::EndpointLocation],
+    locations: &[&'a membership::EndpointLocation],
     prefix: u64,
 ) -> Option<&'a membership::EndpointLocation> {
-    places.iter().copied().max_by_key(|place| xxh3::xxh3_64_with_seed(place.id.as_bytes(), prefix))
+    locations
+        .iter()
+        .copied()
+        .max_by_key(|location| xxh3::xxh3_64_with_seed(location.id.as_bytes(), prefix))
 }
 
 /// Returns the cost of an offer, by which offers are compared; lower is better.
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -44,7 +44,7 @@
 
 /// An endpoint with the offer of its side, if the side answered.
 struct Load {
-    place: membership::EndpointLocation,
+    location: membership::EndpointLocation,
     offer: Option<wire::Offer>,
 }
 
@@ -160,20 +160,20 @@
         lease: &lease::Contender,
         loads: &[Load],
     ) -> Option<CompactString> {
-        let place = loads
+        let location = loads
             .iter()
             .filter_map(|load| Some((load, load.offer.as_ref()?)))
             .min_by_key(|(load, offer)| {
-                let other = self.draining.as_ref() != Some(&load.place.id);
+                let other = self.draining.as_ref() != Some(&load.location.id);
                 (other, offer.running + offer.waiting)
             })
-            .map(|(load, _)| load.place.clone())?;
-        self.draining = Some(place.id.clone());
+            .map(|(load, _)| load.location.clone())?;
+        self.draining = Some(location.id.clone());
         let epoch = lease.epoch(control.hub.now_ms())?;
-        let answers = query_loads(control, vec![place.clone()], Some(epoch)).await;
+        let answers = query_loads(control, vec![location.clone()], Some(epoch)).await;
         let offer = answers.first()?.offer?;
         let idle = offer.leaving && offer.running + offer.waiting == 0;
-        idle.then_some(place.id)
+        idle.then_some(location.id)
     }
 }
 
@@ -239,18 +239,18 @@
 async fn service_loads(control: &control::Control, zone: &str, service: &str) -> Vec<Load> {
     let snapshot = control.hub.snapshot.load_full();
     let all = snapshot.endpoints(&control.settings.region, service);
-    let places = all.iter().filter(|place| place.zone == zone).cloned().collect();
-    query_loads(control, places, None).await
+    let locations = all.iter().filter(|location| location.zone == zone).cloned().collect();
+    query_loads(control, locations, None).await
 }
 
 /// Asks endpoints for their load or, with an epoch, to drain for a stop ordered under that epoch.
 async fn query_loads(
     control: &control::Control,
-    places: Vec<membership::EndpointLocation>,
+    locations: Vec<membership::EndpointLocation>,
     drain: Option<lease::Epoch>,
 ) -> Vec<Load> {
     let mut loads: Vec<Load> =
-        places.into_iter().map(|place| Load { place, offer: None }).collect();
+        locations.into_iter().map(|location| Load { location, offer: None }).collect();
     let local = SocketAddr::new(control.settings.peer_addr.ip(), 0);
     let Ok(socket) = UdpSocket::bind(local).await else {
         return loads;
@@ -258,13 +258,13 @@
     for (nonce, load) in loads.iter().enumerate() {
         let ask = wire::LoadAsk {
             nonce: nonce as u64,
-            endpoint: load.place.endpoint,
-            service: load.place.service.clone(),
+            endpoint: load.location.endpoint,
+            service: load.location.service.clone(),
             drain,
         };
         let datagram = wire::Datagram::LoadAsk(ask);
         if let Ok(bytes) = seal::seal_datagram(control.secret(), &datagram) {
-            let _ = socket.try_send_to(&bytes, load.place.work_addr);
+            let _ = socket.try_send_to(&bytes, load.location.work_addr);
         }
     }
     let collect = async {
