--- a/src/billing.rs
+++ b/src/billing.rs
@@ -194,7 +194,7 @@
     if let Some(sealed) = read_sealed(store, &key).await? {
         return Ok(sealed);
     }
-    let former = match window.0.checked_sub(1) {
+    let previous = match window.0.checked_sub(1) {
         Some(before) => read_sealed(store, &sealed_key(region, usage::Window(before))).await?,
         None => None,
     };
@@ -204,7 +204,7 @@
         .iter()
         .filter_map(|object| serde_json::from_str(&object.value).ok())
         .collect();
-    let sealed = usage::Sealed::compute(window, &sheets, former.as_ref(), nonce);
+    let sealed = usage::Sealed::compute(window, &sheets, previous.as_ref(), nonce);
     let value = serde_json::to_string(&sealed).unwrap_or_default();
     match store.put(&key, value, Condition::Absent).await {
         Ok(_) => Ok(sealed),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -118,7 +118,7 @@
 /// Outcome of a call as determined by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ClaimOutcome {
-    /// The call ran; callers that retry are told so
+    /// The call ran; a retry gets an answer that says so
     Ran,
     /// The call did not run; callers may retry
     NotRun,
--- a/src/config.rs
+++ b/src/config.rs
@@ -13,7 +13,7 @@
 
 use crate::jsonc;
 
-/// Parts per million that make up the whole.
+/// A share of 100 %, in parts per million.
 pub const PPM: u64 = 1_000_000;
 /// Largest configuration text; the platform stores values of up to 1 MB.
 pub const MAX_TEXT_BYTES: usize = 1_000_000;
--- a/src/control/reader.rs
+++ b/src/control/reader.rs
@@ -120,7 +120,7 @@
 /// Merges a listing and raises the gossiped count of store reads; returns the new count.
 fn merge_listing(control: &Control, listing: store::Listing) -> u64 {
     // All watches return on the same change at the same time. If each reader added 1, all would reach
-    // the same count, and every replacement reader would assume for ever that no other daemon reads.
+    // the same count, and every replacement reader would assume indefinitely that no other daemon reads.
     let read_count =
         control.with_shared(|shared| shared.reads) + rand::random_range(1..=COUNT_STEP);
     control.raise_store_reads(read_count);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -69,7 +69,7 @@
     let (log, guard) = logging::open(settings.id(), settings.log_output());
     let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
     let outcome = runner.block_on(async move { run(settings, log).await });
-    // Flushes the log: its last lines tell how the process ended.
+    // Flushes the log: its last lines show how the process ended.
     drop(guard);
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -33,7 +33,7 @@
     /// Finishes its current work and accepts no new work.
     #[display("draining")]
     Draining,
-    /// Stopped, or gone from the platform's list.
+    /// Stopped, or no longer in the platform's list.
     #[display("gone")]
     Gone,
 }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -27,8 +27,8 @@
     pub action: Action,
 }
 
-/// The record that a holder writes before it sends an order: the epoch that is in charge of a zone's
-/// endpoints and the order about to be sent.
+/// The record that a holder writes before it sends an order: its epoch and the order about to be sent.
+/// A holder with a lower epoch must not replace it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
     pub epoch: lease::Epoch,
@@ -49,8 +49,8 @@
         Self { newest: epoch }
     }
 
-    /// Returns whether an order with this epoch is accepted; a greater epoch bars all lower ones from
-    /// then on.
+    /// Returns whether an order with this epoch is accepted; after a greater epoch, all lower
+    /// ones are rejected.
     pub fn admit(&mut self, epoch: lease::Epoch) -> bool {
         if epoch < self.newest {
             return false;
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -83,7 +83,7 @@
     version: u64,
     /// Backlog period of the class at the start. The class's `served_tokens` are only corrected while this
     /// period lasts.
-    backlog: u64,
+    backlog_period: u64,
 }
 
 /// Result of [`Queue::push`].
@@ -102,13 +102,14 @@
     counters: fairness::Counters,
     accounts: HashMap<CompactString, BTreeSet<(u64, Ticket)>>,
     waiting: usize,
+    /// Number of jobs for which this class has reserved capacity.
     reserved: usize,
     /// Value of `Queue::total_tokens` when the current backlog period began.
     since_tokens: u64,
     /// Service of this class in the current backlog period.
     served_tokens: u64,
     /// Number of the current backlog period, which begins when a job arrives at an empty class queue.
-    backlog: u64,
+    backlog_period: u64,
 }
 
 /// The queue of one endpoint.
@@ -121,6 +122,7 @@
     classes: Vec<ClassQueue>,
     jobs: SlotMap<Ticket, Job>,
     expiries: BTreeMap<(u64, Ticket), ()>,
+    /// Capacity for jobs of all classes beyond their reserved capacity.
     shared: usize,
     /// Service charged to all classes.
     total_tokens: u64,
@@ -258,7 +260,7 @@
         let charge = queue.counters.start(&job.account, job.share, job.estimate_tokens);
         queue.served_tokens += job.estimate_tokens;
         self.total_tokens += job.estimate_tokens;
-        Some(Started { version: self.version, backlog: queue.backlog, charge, job })
+        Some(Started { version: self.version, backlog_period: queue.backlog_period, charge, job })
     }
 
     /// Removes and returns the jobs whose `expires_at_ms` has been reached.
@@ -290,23 +292,23 @@
             &mut started.charge,
             tokens,
         );
-        let more = started.charge.tokens - before;
-        self.total_tokens += more;
-        if queue.backlog == started.backlog {
-            queue.served_tokens += more;
+        let added = started.charge.tokens - before;
+        self.total_tokens += added;
+        if queue.backlog_period == started.backlog_period {
+            queue.served_tokens += added;
         }
     }
 
     /// Records the end of a started job and its total service.
     pub fn finish(&mut self, mut started: Started, tokens: u64) {
         self.progress(&mut started, tokens);
-        let back = started.charge.tokens - tokens;
+        let surplus = started.charge.tokens - tokens;
         let queue = &mut self.classes[usize::from(started.job.class.0)];
         queue.counters.finish(&started.job.account, started.job.share, started.charge, tokens);
         // `total_tokens` is not corrected downwards: it must never fall below the `since_tokens` of a
         // class.
-        if queue.backlog == started.backlog {
-            queue.served_tokens = queue.served_tokens.saturating_sub(back);
+        if queue.backlog_period == started.backlog_period {
+            queue.served_tokens = queue.served_tokens.saturating_sub(surplus);
         }
     }
 
@@ -326,7 +328,7 @@
         if queue.waiting == 0 {
             queue.since_tokens = self.total_tokens;
             queue.served_tokens = 0;
-            queue.backlog += 1;
+            queue.backlog_period += 1;
         }
         queue.waiting += 1;
         queue.counters.wait(&account);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,8 +1,8 @@
-//! The retry budget: a token bucket that first sends fill and retries empty.
+//! The retry budget: a token bucket to which each first send adds and from which each retry deducts.
 //!
 //! When a third of the endpoints fail, retrying every failed request would multiply the load of the
 //! remaining endpoints just when they have the least spare capacity. The bucket limits retries to a
-//! fixed share of all requests, whatever fails.
+//! fixed share of all requests, regardless of how many fail.
 
 /// Retries earned by each request, in thousandths.
 const EARNED_MILLI: u64 = 100;
--- a/src/story.rs
+++ b/src/story.rs
@@ -63,16 +63,17 @@
 #[must_use]
 pub fn request_lines(mut lines: Vec<Line>, request: &str, around: bool) -> Vec<Line> {
     lines.sort_by(|a, b| a.time.cmp(&b.time));
-    let about: Vec<Line> = lines.iter().filter(|line| line.is_about(request)).cloned().collect();
-    let (Some(first), Some(last)) = (about.first(), about.last()) else {
+    let of_request: Vec<Line> =
+        lines.iter().filter(|line| line.is_about(request)).cloned().collect();
+    let (Some(first), Some(last)) = (of_request.first(), of_request.last()) else {
         return Vec::new();
     };
     if !around {
-        return about;
+        return of_request;
     }
     let is_near = |line: &Line| {
         let is_between = line.time >= first.time && line.time <= last.time;
-        let is_handler = about.iter().any(|one| one.daemon == line.daemon);
+        let is_handler = of_request.iter().any(|other| other.daemon == line.daemon);
         line.is_about(request) || (line.is_fleet_event() && is_between && is_handler)
     };
     lines.iter().filter(|line| is_near(line)).cloned().collect()
--- a/src/usage.rs
+++ b/src/usage.rs
@@ -177,8 +177,8 @@
     #[must_use]
     pub fn up_to(&self, window: Window) -> Totals {
         let mut totals = Totals::default();
-        for (_, ran) in self.windows.range(..=window) {
-            totals.merge(ran);
+        for (_, of_window) in self.windows.range(..=window) {
+            totals.merge(of_window);
         }
         totals
     }
@@ -205,13 +205,13 @@
     /// Computes the usage of a window from all sheets and the seal of the previous window.
     #[must_use]
     pub fn compute(window: Window, sheets: &[Sheet], previous: Option<&Self>, nonce: u64) -> Self {
-        let mut ran = Totals::default();
+        let mut total = Totals::default();
         for sheet in sheets {
-            ran.merge(&sheet.up_to(window));
+            total.merge(&sheet.up_to(window));
         }
         let empty = Totals::default();
         let before = previous.map_or(&empty, |sealed| &sealed.cumulative);
-        let figures = ran.minus(before);
+        let figures = total.minus(before);
         let mut cumulative = before.clone();
         cumulative.merge(&figures);
         Self { window, figures, cumulative, nonce }
