--- a/src/entry/reader.rs
+++ b/src/entry/reader.rs
@@ -39,9 +39,10 @@
     resubmit: Rc<wire::Submit>,
     source: Source,
     head_seen: bool,
-    /// Body bytes received.
-    pub(super) received: u64,
-    uncredited: u32,
+    /// Number of body bytes received.
+    pub(super) received_bytes: u64,
+    /// Number of bytes received for which no new credit has been granted yet.
+    uncredited_bytes: u32,
     keys_revision: u64,
     /// Completes when the key table has changed.
     keys_changed: Option<Pin<Box<dyn Future<Output = ()>>>>,
@@ -51,7 +52,9 @@
 
 impl std::fmt::Debug for Reader {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Reader").field("received", &self.received).finish_non_exhaustive()
+        f.debug_struct("Reader")
+            .field("received_bytes", &self.received_bytes)
+            .finish_non_exhaustive()
     }
 }
 
@@ -89,8 +92,8 @@
             resubmit: Rc::new(*resubmit),
             source: Source::Open(stream),
             head_seen: false,
-            received: 0,
-            uncredited: 0,
+            received_bytes: 0,
+            uncredited_bytes: 0,
             keys_revision: 0,
             keys_changed: None,
             revoke_timeout: None,
@@ -141,7 +144,7 @@
             }
             links::Event::Data(data) => self.handle_data(data),
             links::Event::End(end) => {
-                if end.length != self.received {
+                if end.length != self.received_bytes {
                     return Some(Err(self.fail("The answer has a gap.")));
                 }
                 self.end();
@@ -157,7 +160,7 @@
                     Rc::clone(&self.worker),
                     self.target,
                     Rc::clone(&self.resubmit),
-                    self.received,
+                    self.received_bytes,
                 )));
                 None
             }
@@ -167,7 +170,7 @@
     fn handle_data(&mut self, data: wire::Data) -> Option<Result<Next, error::Refusal>> {
         // After a run is resumed, frames may repeat or overlap bytes already received. Only the bytes
         // that directly follow those received are passed on, so none is duplicated or missing.
-        let Some(skip) = self.received.checked_sub(data.offset) else {
+        let Some(skip) = self.received_bytes.checked_sub(data.offset) else {
             return Some(Err(self.fail("The answer has a gap.")));
         };
         let fresh = data.bytes.get(skip as usize..).unwrap_or(&[]);
@@ -175,20 +178,20 @@
             return None;
         }
         let bytes = if skip == 0 { data.bytes } else { fresh.to_vec() };
-        self.received += bytes.len() as u64;
+        self.received_bytes += bytes.len() as u64;
         self.grant_credit(bytes.len() as u32);
         Some(Ok(Next::Chunk(bytes)))
     }
 
     fn grant_credit(&mut self, bytes: u32) {
-        self.uncredited += bytes;
-        if self.uncredited < CREDIT_STEP_BYTES {
+        self.uncredited_bytes += bytes;
+        if self.uncredited_bytes < CREDIT_STEP_BYTES {
             return;
         }
         if let Source::Open(stream) = &self.source {
-            let credit = wire::Credit { stream: stream.id, bytes: self.uncredited };
+            let credit = wire::Credit { stream: stream.id, bytes: self.uncredited_bytes };
             stream.send(&wire::ToSide::Credit(credit));
-            self.uncredited = 0;
+            self.uncredited_bytes = 0;
         }
     }
 
--- a/src/entry/respond.rs
+++ b/src/entry/respond.rs
@@ -160,14 +160,14 @@
             Some(Ok(Next::Head(_))) => continue,
             Some(Ok(Next::End(end))) => {
                 completion.record_first_token();
-                completion.end(head.status, Ok(end), reader.received);
+                completion.end(head.status, Ok(end), reader.received_bytes);
                 return response(head, id).body(body);
             }
             Some(Err(refusal)) => refusal,
             None => error::Refusal::unknown(error::Kind::Internal),
         };
         let status = refusal.kind.answer().status;
-        completion.end(status, Err(&refusal), reader.received);
+        completion.end(status, Err(&refusal), reader.received_bytes);
         return refusal_response(&refusal, id);
     }
 }
@@ -197,11 +197,11 @@
                 }
                 Some(Ok(Next::Head(_))) => {}
                 Some(Ok(Next::End(end))) => {
-                    this.completion.end(this.status, Ok(end), this.reader.received);
+                    this.completion.end(this.status, Ok(end), this.reader.received_bytes);
                     return Poll::Ready(None);
                 }
                 Some(Err(refusal)) => {
-                    this.completion.end(this.status, Err(&refusal), this.reader.received);
+                    this.completion.end(this.status, Err(&refusal), this.reader.received_bytes);
                     let event = format!("event: error\ndata: {}\n\n", refusal.body());
                     return Poll::Ready(Some(Ok(Bytes::from(event))));
                 }
--- a/src/side/run.rs
+++ b/src/side/run.rs
@@ -167,11 +167,11 @@
         run.answer.borrow_mut().replayed |= submit.request != run.submit.request;
         let reader = answer::Reader::new(stream, submit.from_offset, submit.credit_bytes.into());
         let subscriber = Subscriber { outbox: outbox.clone(), reader };
-        let former = run.subscriber.replace(Some(subscriber));
+        let previous = run.subscriber.replace(Some(subscriber));
         run.detached_since_ms.set(None);
-        if let Some(former) = former.filter(|former| !former.reader.is_done()) {
+        if let Some(previous) = previous.filter(|previous| !previous.reader.is_done()) {
             let refusal = error::Refusal::unknown(error::Kind::Superseded);
-            send_refusal(&former.outbox, former.reader.stream, refusal);
+            send_refusal(&previous.outbox, previous.reader.stream, refusal);
         }
         metrics::counter!("briarwinch_runs_taken_up_total").increment(1);
         run.flush();
