--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,49 +1,52 @@
-# Functions that the demo and the measure of the real path share: start processes, read where they
-# listen, write settings, end what was started. To be sourced; `bin` names the folder of binaries.
+# Shared functions of demo.sh and scripts/measure-path.sh: start processes, read the addresses they
+# listen on, write settings files and stop the processes on exit. Sourced by these scripts, which set
+# `bin_dir` to the directory of the binaries.
 
-work=$(mktemp -d)
+work_dir=$(mktemp -d)
 pids=()
 seeds=
 entries=()
 admins=()
 
 stop_all() {
-  # Only what was started here, by process id; the daemons drain on this signal.
+  # Signals only the processes started here, by process id. The daemons drain on SIGTERM.
   for pid in "${pids[@]}"; do kill -TERM "$pid" 2>/dev/null || true; done
   for pid in "${pids[@]}"; do wait "$pid" 2>/dev/null || true; done
-  rm -rf "$work"
+  rm -rf "$work_dir"
 }
 trap stop_all EXIT
 
-# start NAME COMMAND...: a process of this fleet, its output in files of its name.
-start() {
+# start_process NAME COMMAND...: starts a process in the background. Its output and process id go to
+# files named after it.
+start_process() {
   local name=$1; shift
-  "$@" >"$work/$name.out" 2>"$work/$name.err" &
+  "$@" >"$work_dir/$name.out" 2>"$work_dir/$name.err" &
   pids+=($!)
-  echo $! >"$work/$name.pid"
+  echo $! >"$work_dir/$name.pid"
 }
 
-# until_printed NAME SED_SCRIPT: waits for something that a process prints.
-until_printed() {
+# wait_for_output NAME SED_SCRIPT: waits up to 10 s until the sed script matches a process's output, and
+# prints the match.
+wait_for_output() {
   for _ in $(seq 200); do
     local found
-    found=$(sed -n "$2" "$work/$1.out" 2>/dev/null)
+    found=$(sed -n "$2" "$work_dir/$1.out" 2>/dev/null)
     if [ -n "$found" ]; then echo "$found"; return; fi
     sleep 0.05
   done
   echo "$1 does not start" >&2
-  cat "$work/$1.err" >&2
+  cat "$work_dir/$1.err" >&2
   return 1
 }
 
-# listening NAME: a stand-in's address, chosen by the system.
-listening() { until_printed "$1" 's/^listening //p'; }
+# standin_address NAME: prints the address of a stand-in. The operating system chooses the port.
+standin_address() { wait_for_output "$1" 's/^listening //p'; }
 
-# addr NAME FIELD: an address that a daemon has printed.
-addr() { until_printed "$1" "s/.*\"$2\":\"\\([^\"]*\\)\".*/\\1/p"; }
+# daemon_address NAME FIELD: prints an address from a daemon's output.
+daemon_address() { wait_for_output "$1" "s/.*\"$2\":\"\\([^\"]*\\)\".*/\\1/p"; }
 
-# ready ADDR: waits until a daemon is ready.
-ready() {
+# wait_until_ready ADDR: waits up to 10 s until a daemon is ready.
+wait_until_ready() {
   for _ in $(seq 200); do
     if curl -sf "http://$1/ready" >/dev/null; then return; fi
     sleep 0.05
@@ -52,8 +55,9 @@
   return 1
 }
 
-# daemon NAME ZONE: the settings all daemons have; the system chooses the ports.
-daemon() {
+# daemon_settings NAME ZONE: prints the settings common to all daemons. Port 0 lets the operating system
+# choose the port.
+daemon_settings() {
   cat <<JSON
   "daemon": {
     "id": "$1", "region": "jawa", "zone": "$2",
@@ -64,28 +68,29 @@
 JSON
 }
 
-# entry NAME ZONE: starts an entry.
-entry() {
-  { echo "{"; daemon "$1" "$2"; echo '  "listen_addr": "127.0.0.1:0" }'; } >"$work/$1.jsonc"
-  start "$1" "$bin/briarwinch-entry" --settings "$work/$1.jsonc"
-  entries+=("http://$(addr "$1" work_addr)")
-  admins+=("$(addr "$1" admin_addr)")
-  seeds="${seeds:+$seeds, }\"$(addr "$1" peer_addr)\""
+# start_entry NAME ZONE: starts an entry.
+start_entry() {
+  { echo "{"; daemon_settings "$1" "$2"; echo '  "listen_addr": "127.0.0.1:0" }'; } >"$work_dir/$1.jsonc"
+  start_process "$1" "$bin_dir/briarwinch-entry" --settings "$work_dir/$1.jsonc"
+  entries+=("http://$(daemon_address "$1" work_addr)")
+  admins+=("$(daemon_address "$1" admin_addr)")
+  seeds="${seeds:+$seeds, }\"$(daemon_address "$1" peer_addr)\""
 }
 
-# side NAME ZONE SERVICE STANDIN: starts a side before a stand-in's endpoint.
-side() {
-  { echo "{"; daemon "$1" "$2"
+# start_side NAME ZONE SERVICE STANDIN: starts a side in front of a stand-in's endpoint.
+start_side() {
+  { echo "{"; daemon_settings "$1" "$2"
     echo '  "work_addr": "127.0.0.1:0",'
-    echo "  \"endpoints\": [{ \"id\": \"$3-$1\", \"service\": \"$3\", \"url\": \"http://$(listening "$4")\" }] }"
-  } >"$work/$1.jsonc"
-  start "$1" "$bin/briarwinch-side" --settings "$work/$1.jsonc"
-  admins+=("$(addr "$1" admin_addr)")
+    echo "  \"endpoints\": [{ \"id\": \"$3-$1\", \"service\": \"$3\", \"url\": \"http://$(standin_address "$4")\" }] }"
+  } >"$work_dir/$1.jsonc"
+  start_process "$1" "$bin_dir/briarwinch-side" --settings "$work_dir/$1.jsonc"
+  admins+=("$(daemon_address "$1" admin_addr)")
 }
 
-# serving KEY...: waits until all daemons are ready and all entries serve these keys.
-serving() {
-  for admin in "${admins[@]}"; do ready "$admin"; done
+# wait_until_serving KEY...: waits until all daemons are ready, then up to 10 s per entry and key until
+# the entry accepts the key.
+wait_until_serving() {
+  for admin in "${admins[@]}"; do wait_until_ready "$admin"; done
   local entry key code
   for entry in "${entries[@]}"; do
     for key in "$@"; do
