--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -173,7 +173,7 @@
     let placed: Vec<EndpointKey> =
         (1..60).map(|document| entry.choose(&endpoints, &draft(document), &mut random)).collect();
     let crowded = placed.iter().filter(|one| **one == endpoints[3].key).count();
-    assert!(crowded <= 3, "{crowded} of 59");
+    assert!(crowded <= 3, "{crowded} of 59 documents");
     assert_eq!(
         entry.choose(&endpoints, &draft(0), &mut random),
         endpoints[3].key,
@@ -223,7 +223,7 @@
     assert_eq!(chosen_endpoints.len(), 9);
 }
 
-/// In overload every engine has a queue. Guards against an entry that goes by the shortest queue
+/// In overload every engine has a queue. Guards against an entry that chooses the shortest queue
 /// and sends a document to another engine each time, which prefills it again: the time to the first
 /// event would grow for everybody although there are enough engines.
 #[test]
@@ -264,7 +264,7 @@
 }
 
 /// A guide suddenly becomes popular while the endpoint that has it cached has few free slots.
-/// Entries that go by the last load tables all find room there and overfill it together; the engine
+/// Entries that rely on the last load tables all find room there and overfill it together; the engine
 /// then preempts less urgent answers, and the requests beyond its slots wait for a whole other
 /// answer. At most one request of each entry may arrive there unreported.
 #[test]
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -19,7 +19,7 @@
         let (mut stream, _) = listener.accept().expect("a connection");
         for answer in answers {
             read_head(&mut stream);
-            stream.write_all(answer).expect("the answer leaves");
+            stream.write_all(answer).expect("the answer is sent");
         }
     });
     addr
@@ -63,7 +63,7 @@
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", b""),
     ];
     for (answer, body) in cases {
-        assert_eq!(exchange_once(answer).expect("whole"), (200, body.to_vec()));
+        assert_eq!(exchange_once(answer).expect("a complete answer"), (200, body.to_vec()));
     }
 }
 
@@ -106,7 +106,10 @@
     run(async {
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
         let mut connection = Connection::open(endpoint(vec![answer]), LIMIT).await.expect("open");
-        assert_eq!(exchange(&mut connection).await.expect("whole"), (200, b"a".to_vec()));
+        assert_eq!(
+            exchange(&mut connection).await.expect("a complete answer"),
+            (200, b"a".to_vec())
+        );
         assert!(!connection.is_reusable());
     });
 }
@@ -118,10 +121,10 @@
         let last = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\nconnection: close\r\n\r\nb";
         let mut connection =
             Connection::open(endpoint(vec![good, last]), LIMIT).await.expect("open");
-        exchange(&mut connection).await.expect("whole");
+        exchange(&mut connection).await.expect("a complete answer");
         assert!(connection.is_reusable());
         assert_eq!(connection.keep_alive_s(), Some(7));
-        exchange(&mut connection).await.expect("whole");
+        exchange(&mut connection).await.expect("a complete answer");
         assert!(!connection.is_reusable());
     });
 }
--- a/tests/gateway/drain.rs
+++ b/tests/gateway/drain.rs
@@ -7,7 +7,7 @@
 /// Steps every 20 ms with no request in flight and returns the first step other than `Wait`.
 fn next_step(stop: &mut Stop, from_ms: u64, last_request_ms: u64) -> (u64, Step) {
     let steps = (from_ms..20_000).step_by(20).map(|at| (at, stop.step(at, 0, last_request_ms)));
-    steps.into_iter().find(|(_, step)| *step != Step::Wait).expect("the stop ends")
+    steps.into_iter().find(|(_, step)| *step != Step::Wait).expect("the stop completes")
 }
 
 /// Guards against a request that is forwarded and then cut off: a client's connection is idle for a moment,
@@ -33,7 +33,7 @@
         (3_000..11_000).step_by(20).map(|at| (at, stop.step(at, 1, 3_000))).collect();
     let close = steps.iter().find(|(_, step)| *step == Step::Close).expect("admission closes");
     assert!(close.0 <= 10_000, "requests are refused before the exit");
-    let end = steps.iter().find(|(_, step)| *step == Step::End).expect("the stop ends");
+    let end = steps.iter().find(|(_, step)| *step == Step::End).expect("the stop completes");
     assert!(end.0 > close.0 && end.0 < 11_000);
 }
 
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits that endpoints set: entries keep to them together, whatever they know of each other,
-//! and notice when they end.
+//! Rate limits that endpoints set: entries together stay within them, however many peers each knows,
+//! and stop applying them when they end.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -8,12 +8,12 @@
 use briarwinch::gateway::policy::warmup::Position;
 use proptest::prelude::*;
 
-use crate::virtual_fleet::{Fleet, START_MS, TICK_MS, Trouble, key, troubles};
+use crate::virtual_fleet::{Fault, Fleet, START_MS, TICK_MS, faults, key};
 
 /// The bound holds for any span of this length, once the limit has been stated for [`CONTACT_MS`].
 const SPAN_MS: u64 = 4_000;
 const CONTACT_MS: u64 = 3_000;
-/// An entry is bound by the limit this long after it passed on the first answer with it.
+/// Time after its first forwarded answer with the limit from which an entry must respect the limit.
 const BOUND_AFTER_MS: u64 = 500;
 /// Time from a send to the head of its answer.
 const ANSWER_MS: u64 = 100;
@@ -26,7 +26,7 @@
     1.5 * per_s * SPAN_MS as f64 / 1_000.0 + 5.0
 }
 
-/// Recent events of an entry that matter for the bound.
+/// State of an entry that decides whether its sends count towards the bound.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
     /// When it first passed on an answer with the limit.
@@ -35,15 +35,15 @@
     excused_ms: u64,
 }
 
-/// Entries that send to one endpoint whenever they may, as under a burst.
+/// Entries that send to one endpoint as fast as the limit allows, as under a burst.
 struct Burst {
     /// Set while the endpoint states the limit.
     limit: Option<Rate>,
     named_ms: u64,
     records: Vec<Record>,
-    /// Requests under way: when each is answered, which entry sent it, and when.
+    /// Requests in flight: time of the answer, index of the sending entry, and send time.
     under_way: VecDeque<(u64, usize, u64)>,
-    /// Arrivals from entries that are bound and not excused.
+    /// Arrivals from entries that must respect the limit and are not excluded by a fault.
     counted: VecDeque<u64>,
     total: usize,
     most: usize,
@@ -99,7 +99,7 @@
         let now_ms = fleet.now_ms;
         let node = &mut fleet.nodes[index];
         let record = &mut self.records[index];
-        if node.is_silent || node.is_cut_off || node.island != 0 {
+        if node.is_silent || node.is_cut_off || node.partition != 0 {
             record.excused_ms = now_ms + CONTACT_MS + SPAN_MS;
         }
         if node.is_silent {
@@ -133,13 +133,13 @@
     }
 }
 
-fn run_burst(entries: usize, zones: usize, per_s: f64, troubles: &[(Trouble, f64, u64)]) -> Burst {
+fn run_burst(entries: usize, zones: usize, per_s: f64, faults: &[(Fault, f64, u64)]) -> Burst {
     let mut fleet = Fleet::open(entries, zones, 0.02);
     fleet.run_ms(2_500);
     let mut burst = Burst::begin(&fleet, rate(per_s));
     let mut dead = Vec::new();
-    for (trouble, share, pause_ms) in troubles {
-        let restarted = fleet.strike(zones, &mut dead, (*trouble, *share));
+    for (fault, share, pause_ms) in faults {
+        let restarted = fleet.inject(zones, &mut dead, (*fault, *share));
         burst.records.resize_with(fleet.nodes.len(), Record::default);
         restarted.into_iter().for_each(|index| burst.reset(&fleet, index));
         burst.run_ms(&mut fleet, *pause_ms);
@@ -155,20 +155,19 @@
     fn entries_together_keep_to_a_limit(
         size in prop::sample::select(vec![(5, 3), (22, 3), (68, 5)]),
         per_s in prop::sample::select(vec![0.5, 2.0, 2.5, 9.0, 60.0]),
-        troubles in troubles(),
+        faults in faults(),
     ) {
-        let burst = run_burst(size.0, size.1, per_s, &troubles);
-        prop_assert!(burst.most as f64 <= bound(per_s), "{} in a span", burst.most);
+        let burst = run_burst(size.0, size.1, per_s, &faults);
+        prop_assert!(burst.most as f64 <= bound(per_s), "{} arrivals in a span", burst.most);
     }
 }
 
-/// The same in the largest fleet, in which there are more entries than requests to share.
+/// The same in the largest fleet, which has more entries than the limit allows requests.
 #[test]
 fn the_largest_fleet_keeps_to_a_limit_while_entries_die() {
-    let troubles =
-        [(Trouble::Heal, 0.0, 6_000), (Trouble::Kill, 0.3, 3_000), (Trouble::Heal, 0.0, 8_000)];
-    let burst = run_burst(340, 7, 2.0, &troubles);
-    assert!(burst.most as f64 <= bound(2.0), "{} in a span", burst.most);
+    let faults = [(Fault::Heal, 0.0, 6_000), (Fault::Kill, 0.3, 3_000), (Fault::Heal, 0.0, 8_000)];
+    let burst = run_burst(340, 7, 2.0, &faults);
+    assert!(burst.most as f64 <= bound(2.0), "{} arrivals in a span", burst.most);
 }
 
 /// Guards against a limit that is kept by sending nothing, and against one that never ends for
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -46,7 +46,7 @@
     /// Running, but neither sends to nor receives from any other entry.
     pub is_cut_off: bool,
     /// Network partition. Only entries of the same partition reach each other.
-    pub island: u8,
+    pub partition: u8,
     /// Dead or frozen.
     pub is_silent: bool,
     pub sent_bytes: usize,
@@ -157,7 +157,7 @@
             evacuations: evacuation::Evacuations::default(),
             has_urgent_work: false,
             is_cut_off: false,
-            island: 0,
+            partition: 0,
             is_silent: false,
             sent_bytes: 0,
             offset_ms: random.random_range(0..TICK_MS / STEP_MS) * STEP_MS,
@@ -217,7 +217,7 @@
                     self.between_zones_bytes += bytes + FRAME_BYTES;
                 }
                 let is_heard = !self.nodes[from].is_cut_off
-                    && self.nodes[from].island == self.nodes[other].island;
+                    && self.nodes[from].partition == self.nodes[other].partition;
                 if is_heard && !self.random.random_bool(self.lost) {
                     let at_ms = self.now_ms + STEP_MS;
                     self.in_flight.entry(at_ms).or_default().push((to, one.message.clone()));
@@ -311,7 +311,7 @@
 
 /// Fault that is injected into some entries.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// Each affected entry is cut off from all others.
     CutOff,
     /// The affected entries reach only each other.
@@ -324,47 +324,47 @@
 }
 
 /// Generates faults, each with the share of entries that it affects and the time until the next in ms.
-pub fn troubles() -> impl Strategy<Value = Vec<(Trouble, f64, u64)>> {
-    let trouble = prop_oneof![
-        Just(Trouble::CutOff),
-        Just(Trouble::Split),
-        Just(Trouble::Freeze),
-        Just(Trouble::Kill),
-        Just(Trouble::Start),
-        Just(Trouble::Heal),
+pub fn faults() -> impl Strategy<Value = Vec<(Fault, f64, u64)>> {
+    let fault = prop_oneof![
+        Just(Fault::CutOff),
+        Just(Fault::Split),
+        Just(Fault::Freeze),
+        Just(Fault::Kill),
+        Just(Fault::Start),
+        Just(Fault::Heal),
     ];
-    prop::collection::vec((trouble, 0.05_f64..1.0, 100_u64..4_000), 1..9)
+    prop::collection::vec((fault, 0.05_f64..1.0, 100_u64..4_000), 1..9)
 }
 
 impl Fleet {
     /// Injects a fault into a share of the entries. `dead` holds the entries that were killed and not
     /// restarted. Returns the entries that are restarted now.
-    pub fn strike(
+    pub fn inject(
         &mut self,
         zones: usize,
         dead: &mut Vec<usize>,
-        what: (Trouble, f64),
+        fault_and_share: (Fault, f64),
     ) -> Vec<usize> {
-        let (trouble, share) = what;
+        let (fault, share) = fault_and_share;
         for index in 0..self.nodes.len() {
             let is_affected = self.random.random_bool(share);
-            match trouble {
-                Trouble::CutOff if is_affected => self.nodes[index].is_cut_off = true,
-                Trouble::Split if is_affected => self.nodes[index].island = 1,
-                Trouble::Freeze if is_affected => self.nodes[index].is_silent = true,
-                Trouble::Kill if is_affected => {
+            match fault {
+                Fault::CutOff if is_affected => self.nodes[index].is_cut_off = true,
+                Fault::Split if is_affected => self.nodes[index].partition = 1,
+                Fault::Freeze if is_affected => self.nodes[index].is_silent = true,
+                Fault::Kill if is_affected => {
                     self.nodes[index].is_silent = true;
                     dead.push(index);
                 }
-                Trouble::Start if is_affected && self.nodes.len() < 400 => self.start(zones),
-                Trouble::Heal => {
+                Fault::Start if is_affected && self.nodes.len() < 400 => self.start(zones),
+                Fault::Heal => {
                     let node = &mut self.nodes[index];
-                    (node.is_cut_off, node.island, node.is_silent) = (false, 0, false);
+                    (node.is_cut_off, node.partition, node.is_silent) = (false, 0, false);
                 }
                 _ => {}
             }
         }
-        if !matches!(trouble, Trouble::Heal) {
+        if !matches!(fault, Fault::Heal) {
             return Vec::new();
         }
         let restarted = std::mem::take(dead);
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -1,5 +1,5 @@
-//! Cold endpoints: entries together send no more than one can take, whatever they know of each
-//! other.
+//! Cold endpoints: entries together send no more than such an endpoint accepts, however many peers
+//! each entry knows.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,16 +8,16 @@
 use proptest::prelude::*;
 
 use crate::directory::endpoint;
-use crate::virtual_fleet::{Fleet, TICK_MS, Trouble, ZONES, key, troubles};
+use crate::virtual_fleet::{Fault, Fleet, TICK_MS, ZONES, faults, key};
 
 const PER_S: f64 = 6.7;
 const FACTOR: f64 = 1.5;
 const EXTRA: f64 = 5.0;
-/// Requests that an endpoint can take in any second.
+/// Requests that a cold endpoint accepts in any second.
 const BOUND: f64 = PER_S * FACTOR + EXTRA;
 const ENDPOINTS: usize = 7;
 
-/// Entries that send to cold endpoints whenever they may, as under a burst.
+/// Entries that send to cold endpoints as fast as the policy allows, as under a burst.
 struct Burst {
     zones: usize,
     sends: Vec<ColdSends>,
@@ -92,13 +92,13 @@
     }
 }
 
-fn run_burst(entries: usize, zones: usize, troubles: &[(Trouble, f64, u64)]) -> Burst {
+fn run_burst(entries: usize, zones: usize, faults: &[(Fault, f64, u64)]) -> Burst {
     let mut fleet = Fleet::open(entries, zones, 0.02);
     fleet.run_ms(2_500);
     let mut burst = Burst::begin(&fleet, zones);
     let mut dead = Vec::new();
-    for (trouble, share, pause_ms) in troubles {
-        let restarted = fleet.strike(zones, &mut dead, (*trouble, *share));
+    for (fault, share, pause_ms) in faults {
+        let restarted = fleet.inject(zones, &mut dead, (*fault, *share));
         restarted.into_iter().for_each(|index| burst.reset(index));
         burst.run_ms(&mut fleet, *pause_ms);
     }
@@ -112,24 +112,24 @@
     #[test]
     fn cold_endpoints_stay_within_the_bound(
         size in prop::sample::select(vec![(5, 3), (22, 3), (68, 5)]),
-        troubles in troubles(),
+        faults in faults(),
     ) {
-        let burst = run_burst(size.0, size.1, &troubles);
-        prop_assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+        let burst = run_burst(size.0, size.1, &faults);
+        prop_assert!(burst.most as f64 <= BOUND, "{} arrivals in a second", burst.most);
     }
 }
 
 /// The same in the largest fleet, in which all entries restart at once.
 #[test]
 fn the_largest_fleet_keeps_the_bound_while_all_entries_restart() {
-    let troubles = [
-        (Trouble::Split, 0.4, 2_500),
-        (Trouble::Kill, 1.0, 1_000),
-        (Trouble::Heal, 1.0, 4_000),
-        (Trouble::CutOff, 0.3, 3_000),
+    let faults = [
+        (Fault::Split, 0.4, 2_500),
+        (Fault::Kill, 1.0, 1_000),
+        (Fault::Heal, 1.0, 4_000),
+        (Fault::CutOff, 0.3, 3_000),
     ];
-    let burst = run_burst(340, 7, &troubles);
-    assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+    let burst = run_burst(340, 7, &faults);
+    assert!(burst.most as f64 <= BOUND, "{} arrivals in a second", burst.most);
 }
 
 /// Guards against a bound that is kept by sending nothing: cold endpoints would idle through a
@@ -201,16 +201,16 @@
 /// Guards against designated senders that add up while partitions form and heal and entries freeze.
 #[test]
 fn partitions_that_heal_keep_the_bound_of_cold_endpoints() {
-    let troubles = [
-        (Trouble::Split, 0.2138499146224673, 2_079),
-        (Trouble::Start, 0.13758011075345475, 1_833),
-        (Trouble::Freeze, 0.10105701120893512, 1_414),
-        (Trouble::Start, 0.8087050535340033, 3_132),
-        (Trouble::Heal, 0.8569412977169616, 435),
-        (Trouble::Split, 0.9446694854177541, 2_467),
-        (Trouble::Freeze, 0.17724805226470408, 1_407),
-        (Trouble::Heal, 0.9724002694868057, 2_731),
+    let faults = [
+        (Fault::Split, 0.2138499146224673, 2_079),
+        (Fault::Start, 0.13758011075345475, 1_833),
+        (Fault::Freeze, 0.10105701120893512, 1_414),
+        (Fault::Start, 0.8087050535340033, 3_132),
+        (Fault::Heal, 0.8569412977169616, 435),
+        (Fault::Split, 0.9446694854177541, 2_467),
+        (Fault::Freeze, 0.17724805226470408, 1_407),
+        (Fault::Heal, 0.9724002694868057, 2_731),
     ];
-    let burst = run_burst(22, 3, &troubles);
-    assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+    let burst = run_burst(22, 3, &faults);
+    assert!(burst.most as f64 <= BOUND, "{} arrivals in a second", burst.most);
 }
--- a/tests/processes/faults.rs
+++ b/tests/processes/faults.rs
@@ -50,7 +50,7 @@
 
 fn note_refusal(answer: &caller::Answer, outcomes: &Outcomes) {
     if answer.ran.as_deref() == Some("no") {
-        let request = answer.request.clone().expect("its name");
+        let request = answer.request.clone().expect("a request id");
         outcomes.not_run.lock().expect("no panic").push(request);
     }
 }
--- a/tests/processes/keys.rs
+++ b/tests/processes/keys.rs
@@ -32,7 +32,7 @@
     assert_eq!((queued.status, queued.code().as_str()), (401, "key_withdrawn"));
     assert_eq!(queued.ran.as_deref(), Some("no"));
     assert!(
-        !fleet.has_run(&queued.request.expect("its name")),
+        !fleet.has_run(&queued.request.expect("a request id")),
         "a request reported as not run has run"
     );
     assert!(running.contains("event: error") && running.contains("key_withdrawn"), "{running}");
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -62,9 +62,10 @@
     assert!(!refused.is_empty() && refused.len() < lookups.len(), "{} refused", refused.len());
     for answer in refused {
         assert_eq!((answer.status, answer.ran.as_deref()), (429, Some("no")), "{}", answer.text);
-        let seconds: u32 = answer.retry_after.as_ref().expect("when").parse().expect("seconds");
+        let seconds: u32 =
+            answer.retry_after.as_ref().expect("a retry time").parse().expect("seconds");
         assert!(seconds >= 1);
-        assert!(!fleet.has_run(answer.request.as_ref().expect("its name")));
+        assert!(!fleet.has_run(answer.request.as_ref().expect("a request id")));
     }
 }
 
@@ -85,7 +86,7 @@
     let waiting = caller::send(request("300"), &body);
     assert_eq!(waiting.ran.as_deref(), Some("no"), "{}", waiting.text);
     assert!(["too_late", "deadline_exceeded"].contains(&waiting.code().as_str()));
-    assert!(!fleet.has_run(waiting.request.as_ref().expect("its name")));
+    assert!(!fleet.has_run(waiting.request.as_ref().expect("a request id")));
     let text = running.rest();
     assert!(text.contains("event: error") && text.contains("deadline_exceeded"), "{text}");
     fleet::wait_for("the engine is free", || {
--- a/tests/processes/path.rs
+++ b/tests/processes/path.rs
@@ -40,7 +40,7 @@
 
     // A request can be explained afterwards.
     let answer = caller::send(caller::chat(entry, &key), &caller::chat_body("told", 4, true));
-    let request = answer.request.expect("its name");
+    let request = answer.request.expect("a request id");
     let (code, story) = fleet.operate(&["explain", &request]);
     assert_eq!(code, 0, "{story}");
     assert!(story.contains("account court") && story.contains("outcome whole"), "{story}");
--- a/tests/processes/stops.rs
+++ b/tests/processes/stops.rs
@@ -23,7 +23,7 @@
 }
 
 /// A side gets a stop signal during continuous requests and long streams. Guards against streams that break
-/// halfway, as happened to a stenographer's draft on 19 March.
+/// halfway, as a user's draft did in an incident on 19 March.
 #[test]
 fn stopping_a_side_cuts_no_request() {
     let mut fleet = Fleet::start(FleetOptions { token_ms: 10, ..FleetOptions::default() });
--- a/tests/properties/claims.rs
+++ b/tests/properties/claims.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// Guards against a second send after a holder has died. There is no janitor as in the paper, so the claim
-/// stays, and the call must not be sent again before an operator has resolved the outcome.
+/// Guards against a second send after a holder has died. No background process reverts stale claims, so the
+/// claim stays, and the call must not be sent again before an operator has resolved the outcome.
 #[test]
 fn claim_of_a_dead_holder_is_not_reverted() {
     let store = Store::default();
--- a/tests/properties/queue.rs
+++ b/tests/properties/queue.rs
@@ -9,7 +9,7 @@
 
 const CAPACITY: usize = 24;
 
-/// Returns seven classes as in the users' target, two of them protected.
+/// Returns seven classes, two of them protected, as in the users' deployments.
 fn rules() -> Vec<ClassRule> {
     [(90, true), (80, true), (70, false), (60, false), (40, false), (20, false), (10, false)]
         .into_iter()
