--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -14,7 +14,7 @@
 const SPAN_MS: u64 = 4_000;
 const CONTACT_MS: u64 = 3_000;
 /// Time after its first forwarded answer with the limit from which an entry must respect the limit.
-const BOUND_AFTER_MS: u64 = 500;
+const RESPECT_AFTER_MS: u64 = 500;
 /// Time from a send to the head of its answer.
 const ANSWER_MS: u64 = 100;
 
@@ -29,42 +29,44 @@
 /// State of an entry that decides whether its sends count towards the bound.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    /// When it first passed on an answer with the limit.
-    bound_ms: Option<u64>,
-    /// Until when its sends are not counted, because it was partitioned, frozen or started.
-    excused_ms: u64,
+    /// Time of its first forwarded answer with the limit.
+    first_answer_ms: Option<u64>,
+    /// Time until which its sends are not counted, because it was partitioned, frozen or started.
+    excluded_until_ms: u64,
 }
 
 /// Entries that send to one endpoint as fast as the limit allows, as under a burst.
 struct Burst {
     /// Set while the endpoint states the limit.
     limit: Option<Rate>,
-    named_ms: u64,
+    limit_since_ms: u64,
     records: Vec<Record>,
     /// Requests in flight: time of the answer, index of the sending entry, and send time.
-    under_way: VecDeque<(u64, usize, u64)>,
+    in_flight: VecDeque<(u64, usize, u64)>,
     /// Arrivals from entries that must respect the limit and are not excluded by a fault.
-    counted: VecDeque<u64>,
+    counted_arrivals: VecDeque<u64>,
     total: usize,
-    most: usize,
+    max_in_span: usize,
 }
 
 impl Burst {
     fn begin(fleet: &Fleet, limit: Rate) -> Self {
         Self {
             limit: Some(limit),
-            named_ms: fleet.now_ms,
+            limit_since_ms: fleet.now_ms,
             records: vec![Record::default(); fleet.nodes.len()],
-            under_way: VecDeque::new(),
-            counted: VecDeque::new(),
+            in_flight: VecDeque::new(),
+            counted_arrivals: VecDeque::new(),
             total: 0,
-            most: 0,
+            max_in_span: 0,
         }
     }
 
     fn reset(&mut self, fleet: &Fleet, index: usize) {
-        self.records[index] =
-            Record { bound_ms: None, excused_ms: fleet.now_ms + CONTACT_MS + SPAN_MS };
+        self.records[index] = Record {
+            first_answer_ms: None,
+            excluded_until_ms: fleet.now_ms + CONTACT_MS + SPAN_MS,
+        };
     }
 
     fn run_ms(&mut self, fleet: &mut Fleet, span_ms: u64) {
@@ -82,7 +84,7 @@
     fn answer(&mut self, fleet: &mut Fleet) {
         let now_ms = fleet.now_ms;
         while let Some((_, index, sent_ms)) =
-            self.under_way.pop_front_if(|(at_ms, ..)| *at_ms <= now_ms)
+            self.in_flight.pop_front_if(|(at_ms, ..)| *at_ms <= now_ms)
         {
             let node = &mut fleet.nodes[index];
             if node.is_silent {
@@ -90,7 +92,7 @@
             }
             node.limits.record_answer(key(0), self.limit, sent_ms, now_ms, now_ms);
             if self.limit.is_some() {
-                self.records[index].bound_ms.get_or_insert(now_ms);
+                self.records[index].first_answer_ms.get_or_insert(now_ms);
             }
         }
     }
@@ -100,7 +102,7 @@
         let node = &mut fleet.nodes[index];
         let record = &mut self.records[index];
         if node.is_silent || node.is_cut_off || node.partition != 0 {
-            record.excused_ms = now_ms + CONTACT_MS + SPAN_MS;
+            record.excluded_until_ms = now_ms + CONTACT_MS + SPAN_MS;
         }
         if node.is_silent {
             return;
@@ -114,21 +116,22 @@
             return;
         }
         node.limits.record_send(key(0), now_ms);
-        self.under_way.push_back((now_ms + ANSWER_MS, index, now_ms));
+        self.in_flight.push_back((now_ms + ANSWER_MS, index, now_ms));
         self.total += 1;
-        let is_bound = record.bound_ms.is_some_and(|bound_ms| now_ms >= bound_ms + BOUND_AFTER_MS);
-        if is_bound && now_ms >= record.excused_ms {
+        let must_respect =
+            record.first_answer_ms.is_some_and(|at_ms| now_ms >= at_ms + RESPECT_AFTER_MS);
+        if must_respect && now_ms >= record.excluded_until_ms {
             self.arrive(now_ms);
         }
     }
 
     fn arrive(&mut self, now_ms: u64) {
-        while self.counted.front().is_some_and(|at_ms| now_ms >= at_ms + SPAN_MS) {
-            self.counted.pop_front();
+        while self.counted_arrivals.front().is_some_and(|at_ms| now_ms >= at_ms + SPAN_MS) {
+            self.counted_arrivals.pop_front();
         }
-        self.counted.push_back(now_ms);
-        if now_ms >= self.named_ms + CONTACT_MS {
-            self.most = self.most.max(self.counted.len());
+        self.counted_arrivals.push_back(now_ms);
+        if now_ms >= self.limit_since_ms + CONTACT_MS {
+            self.max_in_span = self.max_in_span.max(self.counted_arrivals.len());
         }
     }
 }
@@ -158,7 +161,7 @@
         faults in faults(),
     ) {
         let burst = run_burst(size.0, size.1, per_s, &faults);
-        prop_assert!(burst.most as f64 <= bound(per_s), "{} arrivals in a span", burst.most);
+        prop_assert!(burst.max_in_span as f64 <= bound(per_s), "{} arrivals in a span", burst.max_in_span);
     }
 }
 
@@ -167,7 +170,7 @@
 fn the_largest_fleet_keeps_to_a_limit_while_entries_die() {
     let faults = [(Fault::Heal, 0.0, 6_000), (Fault::Kill, 0.3, 3_000), (Fault::Heal, 0.0, 8_000)];
     let burst = run_burst(340, 7, 2.0, &faults);
-    assert!(burst.most as f64 <= bound(2.0), "{} arrivals in a span", burst.most);
+    assert!(burst.max_in_span as f64 <= bound(2.0), "{} arrivals in a span", burst.max_in_span);
 }
 
 /// Guards against a limit that is kept by sending nothing, and against one that never ends for
@@ -182,7 +185,7 @@
         let before = burst.total;
         burst.run_ms(&mut fleet, used_s * 1_000);
         let per_s = (burst.total - before) as f64 / used_s as f64;
-        println!("{entries} entries: {per_s} a second, {} in a span", burst.most);
+        println!("{entries} entries: {per_s} a second, {} in a span", burst.max_in_span);
         assert!((1.8..=2.2).contains(&per_s), "{entries} entries: {per_s} a second");
         burst.limit = None;
         burst.run_ms(&mut fleet, 5_000);
@@ -208,13 +211,13 @@
 #[test]
 fn older_updates_do_not_replace_newer_ones() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    let told = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
-    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_000).is_some());
-    assert!(limits.apply_update(told(60, None), 1_010).is_some());
-    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_020).is_none());
+    let update = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
+    assert!(limits.apply_update(update(50, Some(rate(2.0))), 1_000).is_some());
+    assert!(limits.apply_update(update(60, None), 1_010).is_some());
+    assert!(limits.apply_update(update(50, Some(rate(2.0))), 1_020).is_none());
     assert_eq!(limits.rate(endpoint), None);
     assert!(
-        limits.apply_update(told(60, Some(rate(3.0))), 1_030).is_some(),
+        limits.apply_update(update(60, Some(rate(3.0))), 1_030).is_some(),
         "stated at the same time"
     );
     assert_eq!(limits.rate(endpoint), Some(rate(3.0)));
@@ -230,11 +233,12 @@
         limits.record_answer(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
     }
     assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "recent changes");
-    let told: Vec<Vec<LimitUpdate>> =
+    let updates: Vec<Vec<LimitUpdate>> =
         (0..16).map(|turn| limits.updates(10_000 + turn * 200)).collect();
-    let most = told.iter().map(Vec::len).max().unwrap_or(0);
-    assert!(most <= ENDPOINTS / 8, "{most} at once");
-    let all: HashSet<EndpointKey> = told.iter().flatten().map(|told| told.endpoint).collect();
+    let most = updates.iter().map(Vec::len).max().unwrap_or(0);
+    assert!(most <= ENDPOINTS / 8, "{most} limits at once");
+    let all: HashSet<EndpointKey> =
+        updates.iter().flatten().map(|update| update.endpoint).collect();
     assert_eq!(all.len(), ENDPOINTS);
 }
 
--- a/tests/gateway/virtual_fleet.rs
+++ b/tests/gateway/virtual_fleet.rs
@@ -216,9 +216,9 @@
                 if self.nodes[other].zone != self.nodes[from].zone {
                     self.between_zones_bytes += bytes + FRAME_BYTES;
                 }
-                let is_heard = !self.nodes[from].is_cut_off
+                let is_reachable = !self.nodes[from].is_cut_off
                     && self.nodes[from].partition == self.nodes[other].partition;
-                if is_heard && !self.random.random_bool(self.lost) {
+                if is_reachable && !self.random.random_bool(self.lost) {
                     let at_ms = self.now_ms + STEP_MS;
                     self.in_flight.entry(at_ms).or_default().push((to, one.message.clone()));
                 }
--- a/tests/processes/bad_input.rs
+++ b/tests/processes/bad_input.rs
@@ -80,7 +80,7 @@
     for length in [0, 1, 15, 16, 17, 1400, 4000] {
         let bytes: Vec<u8> = (0..length).map(|at| (at * 31) as u8).collect();
         for addr in [&side.work_addr, &side.peer_addr, &fleet.entries[0].peer_addr] {
-            socket.send_to(&bytes, addr).expect("loopback takes it");
+            socket.send_to(&bytes, addr).expect("loopback accepts the datagram");
         }
     }
     for addr in [&side.work_addr, &side.peer_addr] {
--- a/tests/processes/fake_side.rs
+++ b/tests/processes/fake_side.rs
@@ -109,7 +109,10 @@
             waiting: 0,
         };
         let bytes = seal::seal_datagram(&side.secret, &wire::Datagram::Offer(offer));
-        socket.send_to(&bytes.expect("short"), from).await.expect("loopback takes it");
+        socket
+            .send_to(&bytes.expect("the offer fits"), from)
+            .await
+            .expect("loopback accepts the datagram");
     }
 }
 
--- a/tests/processes/faults.rs
+++ b/tests/processes/faults.rs
@@ -45,10 +45,10 @@
         );
         *outcomes.complete.lock().expect("no panic") += u32::from(complete);
     }
-    note_refusal(&answer, outcomes);
+    record_refusal(&answer, outcomes);
 }
 
-fn note_refusal(answer: &caller::Answer, outcomes: &Outcomes) {
+fn record_refusal(answer: &caller::Answer, outcomes: &Outcomes) {
     if answer.ran.as_deref() == Some("no") {
         let request = answer.request.clone().expect("a request id");
         outcomes.not_run.lock().expect("no panic").push(request);
@@ -62,7 +62,7 @@
         let Some(answer) = caller::try_send(caller::payment(entry, key, &name), "{}") else {
             continue;
         };
-        note_refusal(&answer, outcomes);
+        record_refusal(&answer, outcomes);
         if answer.status == 200 {
             outcomes.paid.lock().expect("no panic").insert(name.clone());
         }
@@ -70,7 +70,7 @@
 }
 
 /// Injects one fault after another. At the end all processes run again.
-fn cause_faults(
+fn inject_faults(
     sides: &mut [Daemon],
     spawn: impl Fn(usize) -> Daemon,
     platform: impl Fn(serde_json::Value),
@@ -142,7 +142,7 @@
             3 => fleet.spawn_side("side-loket", "loket", &fleet.service.url),
             _ => fleet.spawn_side("side-loket-2", "loket", &fleet.service.url),
         };
-        cause_faults(&mut sides, spawn, |faults| fleet.fail_platform(&faults));
+        inject_faults(&mut sides, spawn, |faults| fleet.fail_platform(&faults));
         done.store(true, Ordering::Relaxed);
     });
     fleet.sides = sides;
--- a/tests/properties/lease.rs
+++ b/tests/properties/lease.rs
@@ -173,7 +173,7 @@
                 return;
             }
         };
-        let faults = next_calls.next().expect("endless");
+        let faults = next_calls.next().expect("an infinite iterator");
         let effect_at_ms = true_ms + faults.out_ms;
         let continue_at_ms = effect_at_ms + faults.back_ms + faults.frozen_ms;
         self.in_flight = Some(InFlight {
@@ -247,7 +247,7 @@
                 for (from, daemon) in daemons.iter().enumerate() {
                     let notice = daemon.notice(true_ms);
                     messages.extend(notice.into_iter().map(|notice| {
-                        let at_ms = true_ms.saturating_add(delays.next().expect("endless"));
+                        let at_ms = true_ms.saturating_add(delays.next().expect("an infinite iterator"));
                         Message { from, notice, at_ms }
                     }));
                 }
