--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -266,7 +266,7 @@
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
-        let change = limits.record_answer(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
+        let change = limits.record_response(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // Without the announcement the other entries would go on at their previous rate.
--- a/src/gateway/departures.rs
+++ b/src/gateway/departures.rs
@@ -2,7 +2,7 @@
 //! never, and continues to list them as ready.
 //!
 //! Entries forward the announcement to each other, so that an entry without a response from the endpoint
-//! also stops sending to it. An incarnation of an endpoint never revokes its departure; a new incarnation
+//! also stops sending to it. A process of an endpoint never revokes its departure; a new process
 //! under the same id counts as a different endpoint.
 
 use std::collections::HashMap;
@@ -17,11 +17,11 @@
 /// brings the endpoint back.
 const RETENTION_MS: u64 = 600_000;
 
-/// The departure of one incarnation of an endpoint.
+/// The departure of one process of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Departure {
     pub endpoint: EndpointKey,
-    /// Identifies the incarnation, as [`Endpoint::started_unix_ms`] does.
+    /// Identifies the process, as [`Endpoint::started_unix_ms`] does.
     pub started_unix_ms: u64,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Departures {
-    /// Records a departure and returns whether it is new. Of several incarnations of an endpoint only the
+    /// Records a departure and returns whether it is new. Of several processes of an endpoint only the
     /// latest is kept.
     pub fn record(&mut self, departure: Departure, now_ms: u64) -> bool {
         let Departure { endpoint, started_unix_ms } = departure;
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Returns whether this incarnation of an endpoint is leaving.
+    /// Returns whether this process of an endpoint is leaving.
     #[must_use]
     pub fn contains(&self, endpoint: &Endpoint) -> bool {
         let known = self.known.get(&endpoint.key);
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -37,8 +37,8 @@
     pub service: CompactString,
     pub addr: SocketAddr,
     pub zone: CompactString,
-    /// Start time of this incarnation on the platform's clock, in Unix milliseconds. It distinguishes the
-    /// incarnation from earlier ones under the same id, whose memory is lost.
+    /// Start time of this endpoint process on the platform's clock, in Unix milliseconds. It distinguishes
+    /// the process from earlier ones under the same id, whose memory is lost.
     pub started_unix_ms: u64,
     /// Number of requests that it runs concurrently.
     pub slots: u32,
--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -10,20 +10,20 @@
 use crate::clock;
 
 const POLL: Duration = Duration::from_millis(20);
-/// How long the load balancer may still send new clients: it probes once a second and removes an entry
-/// after two failed probes, and a client that it sent just before that still connects.
+/// How long the load balancer may still send new callers: it probes once a second and removes an entry
+/// after two failed probes, and a caller that it sent just before that still connects.
 const DEREGISTRATION_MS: u64 = 2_600;
-/// Longest time for which a stopping entry accepts new clients while few other entries serve. The load
+/// Longest time for which a stopping entry accepts new callers while few other entries serve. The load
 /// balancer takes two more seconds to notice, and a stopping entry must be out of its rotation within
 /// four seconds.
 const MAX_ACCEPT_MS: u64 = 1_800;
-/// Idle time before the exit. Clients with an open connection have been told in their last response that
-/// it closes.
+/// Idle time before the exit. Callers with an open connection have been informed in their last response
+/// that it closes.
 const IDLE_MS: u64 = 600;
 /// Margin before the process is killed, within which it exits by itself.
 const EXIT_MARGIN_MS: u64 = 200;
-/// How long before the exit no new request is admitted; clients on open connections are told that their
-/// request did not run. Without this the exit would cut off a request that had just been forwarded.
+/// How long before the exit no new request is admitted; callers on open connections are informed that
+/// their request did not run. Without this the exit would cut off a request that had just been forwarded.
 const CLOSED_ADMISSION_MS: u64 = 900;
 /// Idle time before the exit once admission is closed; long enough for a refusal to be sent.
 const CLOSED_IDLE_MS: u64 = 100;
@@ -53,9 +53,9 @@
     now_ms.saturating_add(run_ms) >= since_ms.saturating_add(DEREGISTRATION_MS)
 }
 
-/// Returns whether a stopping entry still accepts new clients, when `serving` of its `others` peers serve.
+/// Returns whether a stopping entry still accepts new callers, when `serving` of its `others` peers serve.
 ///
-/// Otherwise the last entry of a rolling restart would send all clients to the one entry that is back, and
+/// Otherwise the last entry of a rolling restart would send all callers to the one entry that is back, and
 /// a fault of that entry would affect all of them.
 #[must_use]
 pub fn accepts_while_draining(since_ms: u64, now_ms: u64, serving: usize, others: usize) -> bool {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Goes on accepting new clients for a limited time while fewer than half of the other entries serve.
+/// Goes on accepting new callers for a limited time while fewer than half of the other entries serve.
 async fn accept_while_few_serve(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
     let others = shared.live_entries.load(Ordering::Relaxed).saturating_sub(1);
     let mut now_ms = begin_ms;
@@ -133,7 +133,7 @@
         shared.draining_since_ms.store(now_ms, Ordering::Release);
     }
     if shared.accepts_while_draining.swap(false, Ordering::AcqRel) {
-        slog::info!(log, "accepted new clients while few other entries serve";
+        slog::info!(log, "accepted new callers while few other entries serve";
             "took_ms" => now_ms - begin_ms, "others" => others);
     }
 }
--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -33,7 +33,7 @@
 
 /// Pause after a failed call to the store or the platform.
 const RETRY_MS: u64 = 500;
-/// Minimum interval between two writes of the open windows' counts. If all entries die at once, the counts
+/// Minimum interval between two writes of the open windows' counts. If all entries die together, the counts
 /// of this interval are lost; it is below the tolerance, a twentieth of a five-second window.
 const SAVE_INTERVAL_MS: u64 = 200;
 /// Maximum rate of these writes in bytes; with many entries the interval grows.
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -2,7 +2,7 @@
 //! the evacuation is revoked. Running requests complete.
 //!
 //! An evacuation withdraws, for example, a third of the engines together with the documents in their prefix
-//! caches. If all requests moved elsewhere at once, the remaining engines would prefill all these documents
+//! caches. If all requests moved elsewhere together, the remaining engines would prefill all these documents
 //! at the same time and all requests would queue behind that work. So documents move one after the other,
 //! each at the same time on all entries, within a fraction of the time that the operators allow.
 //!
--- a/src/gateway/event_stream.rs
+++ b/src/gateway/event_stream.rs
@@ -64,12 +64,12 @@
     has_ended: bool,
 }
 
-/// Arrival times of a stream's events, for pause statistics and the log.
+/// Arrival times of a stream's events, for gap statistics and the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventTiming {
     first_ms: Option<u64>,
     last_ms: u64,
-    longest_pause_ms: u64,
+    longest_gap_ms: u64,
     events: u64,
 }
 
@@ -78,7 +78,7 @@
         if self.first_ms.is_none() {
             self.first_ms = Some(now_ms);
         } else {
-            self.longest_pause_ms = self.longest_pause_ms.max(now_ms - self.last_ms);
+            self.longest_gap_ms = self.longest_gap_ms.max(now_ms - self.last_ms);
         }
         self.last_ms = now_ms;
         self.events += 1;
@@ -295,7 +295,7 @@
         let (gateway, endpoint) = (&self.gateway, &response.endpoint);
         let now_ms = gateway.now_ms();
         let took_ms = now_ms - response.sent_ms;
-        gateway.health.borrow_mut().record_answer(endpoint.key, false, took_ms, now_ms);
+        gateway.health.borrow_mut().record_response(endpoint.key, false, took_ms, now_ms);
         if matches!(error, http1::Error::TimedOut) && now_ms < self.job.deadline_ms {
             gateway.mark_unreachable(endpoint);
         }
@@ -333,12 +333,12 @@
         let now_ms = self.gateway.now_ms();
         let endpoint = &response.endpoint;
         let took_ms = now_ms - response.sent_ms;
-        self.gateway.health.borrow_mut().record_answer(endpoint.key, true, took_ms, now_ms);
+        self.gateway.health.borrow_mut().record_response(endpoint.key, true, took_ms, now_ms);
         self.gateway.pool.borrow_mut().put(endpoint.addr, response.connection, now_ms);
-        self.gateway.pauses.borrow_mut().record_stream(
+        self.gateway.event_gaps.borrow_mut().record_stream(
             endpoint.key,
             self.timing.events,
-            self.timing.longest_pause_ms,
+            self.timing.longest_gap_ms,
             now_ms,
         );
         if let Some(first_ms) = self.timing.first_ms {
@@ -351,6 +351,6 @@
         slog::debug!(self.gateway.log, "stream whole"; "request" => self.job.request.id.as_str(),
             "endpoint" => endpoint.id.as_str(), "event" => self.last_event_id, "took_ms" => took_ms,
             "first_ms" => self.timing.first_ms.map(|at_ms| at_ms - self.job.arrived_ms),
-            "longest_pause_ms" => self.timing.longest_pause_ms);
+            "longest_pause_ms" => self.timing.longest_gap_ms);
     }
 }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -121,10 +121,10 @@
     let mut exchange = control.exchange.borrow_mut();
     let peers = &mut exchange.peers;
     peers.remove_expired(now_ms);
-    let sharers = peers.budget_sharers(now_ms);
-    control.shared.live_entries.store(sharers, Ordering::Relaxed);
+    let budget_entries = peers.retry_budget_entries(now_ms);
+    control.shared.live_entries.store(budget_entries, Ordering::Relaxed);
     let mut fleet_size = control.fleet_size.get();
-    let divisor = fleet_size.observe(sharers, peers.is_settled(now_ms));
+    let divisor = fleet_size.observe(budget_entries, peers.is_settled(now_ms));
     control.fleet_size.set(fleet_size);
     control.shared.retry_budget_divisor.store(divisor, Ordering::Relaxed);
     control.shared.serving_peers.store(peers.serving_count(now_ms), Ordering::Relaxed);
--- a/src/gateway/fleet/exchange.rs
+++ b/src/gateway/fleet/exchange.rs
@@ -56,7 +56,7 @@
 }
 
 impl LocalState {
-    /// Returns the part of the state that is sent at once when it changes.
+    /// Returns the part of the state that is sent immediately when it changes.
     fn urgent(&self, role: Role) -> Urgent {
         let term_notice = self.term_notice.map(|notice| (notice.version, notice.is_over));
         let is_aggregating = role == Role::Aggregator;
@@ -277,7 +277,7 @@
         out
     }
 
-    /// Processes the state of another entry. Returns whether its boot is new, and the answers.
+    /// Processes the state of another entry. Returns whether its boot id is new, and the answers.
     pub fn handle_state(
         &mut self,
         state: &State,
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -28,7 +28,7 @@
 const MAX_ROWS: usize = 75;
 /// Maximum number of prompt parts in a message; 16 bytes each.
 const MAX_PLACEMENTS: usize = 70;
-/// Maximum number of placement messages in one tick; the start of a day places hundreds of parts at once.
+/// Maximum number of placement messages in one tick; the start of a day places hundreds of parts.
 const MAX_PLACEMENT_MESSAGES: usize = 8;
 /// Maximum number of endpoint limits in a message; about 18 bytes each.
 const MAX_LIMITS: usize = 60;
@@ -191,7 +191,7 @@
         }
         self.last.sums_round_ms = now_ms;
         load_table.take_updates(0);
-        // There is no table for this entry's own boot, so nothing is subtracted from the sums.
+        // There is no table for this entry's own boot id, so nothing is subtracted from the sums.
         let (_, sums) = load_table.table_excluding(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
--- a/src/gateway/fleet/message.rs
+++ b/src/gateway/fleet/message.rs
@@ -94,12 +94,12 @@
     Limits(Vec<limits::LimitUpdate>),
     /// Endpoints that have announced that they leave, sent with each state message.
     Departures(Vec<departures::Departure>),
-    /// Billing counts of one boot of an entry.
+    /// Billing counts of one process start of an entry.
     Counts {
         from: SocketAddr,
         counts: delivery::CountBatch,
     },
-    /// Acknowledges that a boot of an entry has received counts.
+    /// Acknowledges that an entry with this boot id has received counts.
     CountsAck {
         from: SocketAddr,
         receiver_boot: u64,
--- a/src/gateway/fleet/peers.rs
+++ b/src/gateway/fleet/peers.rs
@@ -151,7 +151,7 @@
         self.round += 1;
     }
 
-    /// Updates the record of a peer if the given one is newer. Returns whether its boot is new.
+    /// Updates the record of a peer if the given one is newer. Returns whether its boot id is new.
     pub fn update(&mut self, addr: SocketAddr, peer: Peer, now_ms: u64) -> bool {
         if addr == self.own {
             return false;
@@ -208,7 +208,7 @@
         self.live_peers(now_ms).count()
     }
 
-    /// Returns the boots of the peers that any entry has heard since this time.
+    /// Returns the boot ids of the peers that any entry has heard since this time.
     pub fn boots_since(&self, since_ms: u64) -> impl Iterator<Item = u64> {
         let recent = self.known.values().filter(move |known| known.peer.last_heard_ms >= since_ms);
         recent.map(|known| known.peer.boot)
@@ -239,14 +239,14 @@
 
     /// Returns the live peers that rank first for the duties.
     #[must_use]
-    pub fn duty_successors(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
-        most_capable(self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping), most)
+    pub fn duty_successors(&self, max_count: usize, now_ms: u64) -> Vec<SocketAddr> {
+        most_capable(self.live_peers(now_ms).filter(|(_, peer)| !peer.is_stopping), max_count)
     }
 
     /// Returns the live peers with the most CPU, including those that are stopping.
     #[must_use]
-    pub fn strongest(&self, most: usize, now_ms: u64) -> Vec<SocketAddr> {
-        most_capable(self.live_peers(now_ms), most)
+    pub fn strongest(&self, max_count: usize, now_ms: u64) -> Vec<SocketAddr> {
+        most_capable(self.live_peers(now_ms), max_count)
     }
 
     /// Returns the live peers of this zone that rank before this entry as readers of the store.
@@ -336,7 +336,7 @@
         most_capable(self.aggregator_candidates(zone, now_ms), AGGREGATORS_PER_ZONE)
     }
 
-    /// Returns the live peers of this zone with their boots.
+    /// Returns the live peers of this zone with their boot ids.
     #[must_use]
     pub fn members(&self, now_ms: u64) -> Vec<(SocketAddr, u64)> {
         let live = self.live_of(Scope::Zone(&self.zone), now_ms);
@@ -400,7 +400,7 @@
 
     /// Returns the number of entries that share the retry budget, including this one.
     #[must_use]
-    pub fn budget_sharers(&self, now_ms: u64) -> usize {
+    pub fn retry_budget_entries(&self, now_ms: u64) -> usize {
         let recent = |known: &&Known| now_ms < known.peer.last_heard_ms + BUDGET_SHARE_MS;
         1 + self.known.values().filter(recent).count().max(self.seeds.len())
     }
@@ -443,15 +443,15 @@
 /// Returns the peers with the most CPU, at most this many.
 fn most_capable<'a>(
     peers: impl Iterator<Item = (&'a SocketAddr, &'a Peer)>,
-    most: usize,
+    max_count: usize,
 ) -> Vec<SocketAddr> {
-    let mut first: Vec<(Reverse<u16>, SocketAddr)> = Vec::with_capacity(most + 1);
+    let mut first: Vec<(Reverse<u16>, SocketAddr)> = Vec::with_capacity(max_count + 1);
     for (addr, peer) in peers {
         let key = (Reverse(peer.millicores), *addr);
         let at = first.partition_point(|other| *other < key);
-        if at < most {
+        if at < max_count {
             first.insert(at, key);
-            first.truncate(most);
+            first.truncate(max_count);
         }
     }
     first.into_iter().map(|(_, addr)| addr).collect()
--- a/src/gateway/fleet/peers/roster.rs
+++ b/src/gateway/fleet/peers/roster.rs
@@ -73,7 +73,7 @@
 }
 
 impl Peers {
-    /// Merges a roster from another entry. Returns the peers whose boot is new.
+    /// Merges a roster from another entry. Returns the peers whose boot id is new.
     pub fn merge_roster(&mut self, roster: &Roster, now_ms: u64) -> Vec<SocketAddr> {
         // One step is added for the transfer. Without it, a record forwarded in a circle would never age.
         let last_heard_ms = |age: u8| now_ms.saturating_sub((u64::from(age) + 1) * AGE_STEP_MS);
--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery of prefix cache locations from the engines when an entry starts.
 //!
-//! When all entries die at once and restart a second later under full load, no entry knows which engine has
+//! When all entries die together and restart a second later under full load, no entry knows which engine has
 //! which prompt in its prefix cache. Every prompt is then read again, and all requests wait behind that. The
 //! engines keep running meanwhile and can list the prompt parts that they hold.
 
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -140,9 +140,9 @@
 impl SoftStatePull {
     /// Starts a pull if one is needed and none is in flight. Returns whether it was started.
     ///
-    /// Only one peer is asked at a time. Answers of all peers at once would fill the link of a small instance
-    /// for seconds, so that none would arrive in time. A new configuration would be delayed behind them, and
-    /// callers would get 404 for a route that exists.
+    /// Only one peer is asked at a time. Answers of all peers together would fill the link of a small
+    /// instance for seconds, so that none would arrive in time. A new configuration would be delayed behind
+    /// them, and callers would get 404 for a route that exists.
     pub fn try_begin(&mut self) -> bool {
         let is_due = *self == Self::Needed;
         if is_due {
@@ -231,9 +231,12 @@
     Ok(seal::open_bytes(&control.secret, &bytes)?)
 }
 
-async fn read_bytes(stream: &mut TcpStream, most: u32) -> anyhow::Result<Vec<u8>> {
+async fn read_bytes(stream: &mut TcpStream, max_bytes: u32) -> anyhow::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    anyhow::ensure!(length <= most, "message of {length} bytes exceeds the limit of {most} bytes");
+    anyhow::ensure!(
+        length <= max_bytes,
+        "message of {length} bytes exceeds the limit of {max_bytes} bytes"
+    );
     let mut bytes = vec![0; length as usize];
     stream.read_exact(&mut bytes).await?;
     Ok(bytes)
@@ -244,7 +247,7 @@
     control: Rc<Control<P>>,
     listener: TcpListener,
 ) {
-    // Concurrency is limited so that some pulls are served in time: all at once would share the link of a
+    // Concurrency is limited so that some pulls are served in time: all together would share the link of a
     // small instance, and each would time out. After a start of hundreds of entries this went on for as long
     // as they retried.
     let permits = Rc::new(Semaphore::new(MAX_CONCURRENT_PULLS));
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -38,7 +38,7 @@
 
 use tokio::{task, time};
 
-use self::policy::{backoff, budget, health, pauses, warmup};
+use self::policy::{backoff, budget, event_gaps, health, warmup};
 use crate::clock;
 
 /// Interval at which idle connections and outdated state are removed.
@@ -51,7 +51,7 @@
     protocol: Box<dyn request::EndpointProtocol>,
     pool: RefCell<pool::Pool>,
     health: RefCell<health::Health>,
-    pauses: RefCell<pauses::Pauses>,
+    event_gaps: RefCell<event_gaps::EventGaps>,
     budgets: RefCell<budget::RetryBudgets>,
     cold_sends: RefCell<warmup::ColdSends>,
     backoff: RefCell<backoff::Backoff>,
@@ -74,7 +74,7 @@
             protocol,
             pool: RefCell::default(),
             health: RefCell::default(),
-            pauses: RefCell::default(),
+            event_gaps: RefCell::default(),
             cold_sends: RefCell::default(),
             backoff: RefCell::default(),
             log,
@@ -104,7 +104,7 @@
         let snapshot = gateway.shared.snapshot.load();
         let is_known = |endpoint| snapshot.directory.find(endpoint).is_some();
         gateway.health.borrow_mut().retain(is_known);
-        gateway.pauses.borrow_mut().retain(is_known);
+        gateway.event_gaps.borrow_mut().retain(is_known);
         gateway.cold_sends.borrow_mut().sweep(now_ms);
         gateway.backoff.borrow_mut().sweep(now_ms);
         gateway.shared.limits().sweep(now_ms, is_known);
--- a/src/gateway/policy/backoff.rs
+++ b/src/gateway/policy/backoff.rs
@@ -28,7 +28,7 @@
 
 impl Backoff {
     /// Records that an endpoint asked for no requests during `wait_ms`. The longest wait counts: a
-    /// shorter one in a later answer does not end it.
+    /// shorter one in a later response does not end it.
     pub fn record_wait(&mut self, endpoint: &Endpoint, wait_ms: u32, now_ms: u64) {
         let until_ms = now_ms + u64::from(wait_ms).min(MAX_WAIT_MS);
         let started_unix_ms = endpoint.started_unix_ms;
--- a/src/gateway/policy/budget.rs
+++ b/src/gateway/policy/budget.rs
@@ -36,7 +36,7 @@
 /// entry that has just started does not know the size of the fleet and assumes [`MAX_FLEET`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetSize {
-    most: usize,
+    max_entries: usize,
 }
 
 impl FleetSize {
@@ -46,8 +46,8 @@
         if !is_settled {
             return entries.max(MAX_FLEET);
         }
-        self.most = self.most.max(entries);
-        self.most
+        self.max_entries = self.max_entries.max(entries);
+        self.max_entries
     }
 }
 
@@ -90,8 +90,8 @@
         let requests: u32 = buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = buckets.iter().map(|bucket| bucket.retries).sum();
         let extra_share = config.extra / entries.max(1) as f64;
-        let most = USED_SHARE * (config.ratio * f64::from(requests) + extra_share);
-        f64::from(retries + 1) <= most
+        let max_retries = USED_SHARE * (config.ratio * f64::from(requests) + extra_share);
+        f64::from(retries + 1) <= max_retries
     }
 
     /// Counts one retry if this entry's share of the budget allows it, and returns whether it does.
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -11,8 +11,8 @@
 //! send to the one that was free a moment ago. So each compares the endpoints that have the parts
 //! cached with a small random sample of the others (power of d choices, Mitzenmacher 2001).
 //!
-//! Load pattern for plain services: few slots, answers of some ten ms, endpoints of unequal speed,
-//! some of which fail or hang. Requests go to the endpoint with the shortest expected answer time,
+//! Load pattern for plain services: few slots, responses of some ten ms, endpoints of unequal speed,
+//! some of which fail or hang. Requests go to the endpoint with the shortest expected response time,
 //! given its requests under way.
 
 use compact_str::CompactString;
@@ -21,7 +21,7 @@
 use xxhash_rust::xxh3;
 
 use crate::gateway::directory::{Endpoint, EndpointKey};
-use crate::gateway::policy::{admission, health, load, pauses, prefill, prefix_index};
+use crate::gateway::policy::{admission, event_gaps, health, load, prefill, prefix_index};
 use crate::gateway::request::{Prompt, PromptPart};
 use crate::gateway::route;
 
@@ -38,14 +38,14 @@
 const LATE_SHARE: f64 = 0.6;
 /// Weight of each ms beyond that.
 const LATE_WEIGHT: f64 = 4.0;
-/// Share of the wait that the client accepts beyond which it may have left before the first event.
+/// Share of the wait that the caller accepts beyond which it may have left before the first event.
 const TIMEOUT_SHARE: f64 = 0.6;
 /// Weight of each ms beyond that: higher than that of any prefill, since the request is lost and
 /// its prefill wasted.
 const TIMEOUT_WEIGHT: f64 = 20.0;
 /// Bonus of the first and the second choice by rendezvous hashing for parts that no endpoint has
 /// cached, as a multiple of the prefill time. With one choice only, the requests that it could not
-/// take at once would be scattered and prefilled in many places.
+/// take immediately would be scattered and prefilled in many places.
 const RENDEZVOUS_WEIGHTS: [f64; 2] = [3.0, 2.1];
 /// Size of the random sample that is compared with the endpoints that have the parts cached: this
 /// share of the candidates, and at least [`MIN_SAMPLE`]. Entries that compare all endpoints choose
@@ -55,14 +55,14 @@
 /// When this many endpoints of an availability zone refuse one request a connection, the zone
 /// counts as lost.
 const LOST_ZONE_REFUSALS: usize = 2;
-/// Cost of an answer with a late event, compared with one whose events are all in time.
+/// Cost of a response with a late event, compared with one whose events are all in time.
 const LATE_EVENT_MS: f64 = 600.0;
 /// Cost of another availability zone: the round trip and the price of the traffic.
 const CROSS_ZONE_MS: f64 = 4.0;
-/// Cost of a failed answer: the client retries after about this time.
+/// Cost of a failed response: the caller retries after about this time.
 const FAILURE_MS: f64 = 400.0;
-/// Answer time of a plain service before any was observed.
-const PLAIN_ANSWER_MS: f64 = 20.0;
+/// Response time of a plain service before any was observed.
+const PLAIN_RESPONSE_MS: f64 = 20.0;
 
 /// State that the selection is based on.
 #[derive(Debug)]
@@ -71,14 +71,14 @@
     pub prefix_index: &'a prefix_index::PrefixIndex,
     pub health: &'a health::Health,
     pub prefill_model: &'a prefill::PrefillModel,
-    pub pauses: &'a pauses::Pauses,
-    /// Longest pause between events that is in time for the client; zero if there is no limit.
-    pub pause_limit_ms: u32,
+    pub event_gaps: &'a event_gaps::EventGaps,
+    /// Longest gap between events that is in time for the caller; zero if there is no limit.
+    pub gap_limit_ms: u32,
     pub zone: &'a str,
     pub now_ms: u64,
     /// Latency target of the first event.
     pub latency_target_ms: f64,
-    /// How long the client waits for a first event.
+    /// How long the caller waits for a first event.
     pub max_wait_ms: f64,
     /// Zones of the endpoints that refused this request a connection, one item per endpoint.
     pub unreachable_zones: &'a [CompactString],
@@ -241,9 +241,9 @@
         + document_ms * DOCUMENT_WEIGHT
         + common_prefix_ms * COMMON_PREFIX_WEIGHT
         + fixed_cost_ms(endpoint, inputs);
-    if inputs.pause_limit_ms > 0 {
+    if inputs.gap_limit_ms > 0 {
         let late_share =
-            inputs.pauses.late_share(endpoint.key, inputs.pause_limit_ms, inputs.now_ms);
+            inputs.event_gaps.late_share(endpoint.key, inputs.gap_limit_ms, inputs.now_ms);
         cost_ms += late_share * LATE_EVENT_MS;
     }
     if let Some(rank) = preferred.iter().position(|one| *one == Some(endpoint.key)) {
@@ -254,9 +254,9 @@
 
 fn plain_choice<'a>(endpoint: &'a Endpoint, inputs: &Inputs<'_>) -> Choice<'a> {
     let work = inputs.load_table.work_at(endpoint.key, inputs.now_ms);
-    let answer_ms = inputs.health.answer_ms(endpoint.key).unwrap_or(PLAIN_ANSWER_MS);
+    let response_ms = inputs.health.response_ms(endpoint.key).unwrap_or(PLAIN_RESPONSE_MS);
     let rounds = f64::from(work.requests) / f64::from(endpoint.slots.max(1));
-    let first_ms = answer_ms * (1.0 + rounds);
+    let first_ms = response_ms * (1.0 + rounds);
     let cost_ms = first_ms + fixed_cost_ms(endpoint, inputs);
     Choice { endpoint, cost_ms, unread_tokens: 0, work, first_ms, free_share: 1.0 }
 }
--- a/src/gateway/policy/pauses.rs
+++ b/src/gateway/policy/event_gaps.rs
@@ -1,8 +1,8 @@
-//! Pauses between the events of recent streams, by engine.
+//! Gaps between the events of recent streams, by engine.
 //!
-//! Load pattern: an engine prefills prompts between the decoding steps of running answers. An
+//! Load pattern: an engine prefills prompts between the decoding steps of running responses. An
 //! engine that is slower than the others keeps its steps short enough until it prefills long
-//! prompts; then each event of its answers is slightly late. No queue shows this, only the streams
+//! prompts; then each event of its responses is slightly late. No queue shows this, only the streams
 //! themselves.
 
 use std::collections::{HashMap, VecDeque};
@@ -15,7 +15,7 @@
 const RECENT_MS: u64 = 10_000;
 /// Shorter streams are ignored: they may have ended before a prompt was prefilled beside them.
 const MIN_EVENTS: u64 = 8;
-/// Longer pauses are ignored: the endpoint or this process was stopped, which says nothing about
+/// Longer gaps are ignored: the endpoint or this process was stopped, which says nothing about
 /// the engine's decoding steps.
 const STALL_MS: u64 = 1_000;
 /// Prior: this many streams without a late event are added to those observed.
@@ -28,14 +28,14 @@
     at_ms: u64,
 }
 
-/// Longest pauses of recent streams, by endpoint.
+/// Longest gaps of recent streams, by endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct Pauses {
+pub struct EventGaps {
     streams: HashMap<EndpointKey, VecDeque<Stream>>,
 }
 
-impl Pauses {
-    /// Records a stream that has ended, its number of events and the longest pause between two of
+impl EventGaps {
+    /// Records a stream that has ended, its number of events and the longest gap between two of
     /// them.
     pub fn record_stream(
         &mut self,
@@ -54,7 +54,7 @@
         streams.push_back(Stream { longest_ms, at_ms: now_ms });
     }
 
-    /// Returns the share of recent streams of an endpoint that had a pause beyond the limit.
+    /// Returns the share of recent streams of an endpoint that had a gap beyond the limit.
     #[must_use]
     pub fn late_share(&self, endpoint: EndpointKey, limit_ms: u32, now_ms: u64) -> f64 {
         let Some(streams) = self.streams.get(&endpoint) else {
--- a/src/gateway/policy/health.rs
+++ b/src/gateway/policy/health.rs
@@ -1,5 +1,5 @@
 //! Passive health checks: what an entry has observed of each endpoint (silence, refused
-//! connections, failed answers, answer times).
+//! connections, failed responses, response times).
 
 use std::collections::HashMap;
 
@@ -9,13 +9,13 @@
 const MIN_AVOID_MS: u64 = 250;
 /// Upper bound of that time: an endpoint that comes back is tried again within it.
 const MAX_AVOID_MS: u64 = 2_000;
-/// Weight of the newest answer in the moving averages: about the last ten answers count.
+/// Weight of the newest response in the moving averages: about the last ten responses count.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// Half-life of the failure share while no answer ends, so that an endpoint that was avoided is
+/// Half-life of the failure share while no response ends, so that an endpoint that was avoided is
 /// tried again.
 const HALF_LIFE_MS: f64 = 2_000.0;
 
-/// An endpoint that sent bytes of any answer within this time is alive; a wait there is due to
+/// An endpoint that sent bytes of any response within this time is alive; a wait there is due to
 /// queueing.
 pub const ALIVE_MS: u64 = 400;
 
@@ -26,7 +26,7 @@
     avoid_ms: u64,
     failed_share: f64,
     failed_at_ms: u64,
-    answer_ms: Option<f64>,
+    response_ms: Option<f64>,
     last_bytes_ms: u64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Health {
-    /// Records that no connection was made, or that the endpoint was silent where an answer was
+    /// Records that no connection was made, or that the endpoint was silent where a response was
     /// due.
     pub fn record_unreachable(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let observed = self.observed.entry(endpoint).or_default();
@@ -56,7 +56,7 @@
         observed.avoid_until_ms = now_ms + MAX_AVOID_MS;
     }
 
-    /// Records that bytes of an answer arrived, which ends any avoidance.
+    /// Records that bytes of a response arrived, which ends any avoidance.
     pub fn record_bytes(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let observed = self.observed.entry(endpoint).or_default();
         observed.last_bytes_ms = now_ms;
@@ -64,13 +64,13 @@
         observed.avoid_until_ms = 0;
     }
 
-    /// Returns when bytes of any answer last arrived from the endpoint; zero if none have.
+    /// Returns when bytes of any response last arrived from the endpoint; zero if none have.
     #[must_use]
     pub fn last_bytes_ms(&self, endpoint: EndpointKey) -> u64 {
         self.observed.get(&endpoint).map_or(0, |observed| observed.last_bytes_ms)
     }
 
-    /// Returns whether bytes of any answer arrived within [`ALIVE_MS`].
+    /// Returns whether bytes of any response arrived within [`ALIVE_MS`].
     #[must_use]
     pub fn is_alive(&self, endpoint: EndpointKey, now_ms: u64) -> bool {
         self.observed
@@ -78,8 +78,8 @@
             .is_some_and(|observed| now_ms < observed.last_bytes_ms + ALIVE_MS)
     }
 
-    /// Records the end of an answer, its success and its duration.
-    pub fn record_answer(
+    /// Records the end of a response, its success and its duration.
+    pub fn record_response(
         &mut self,
         endpoint: EndpointKey,
         is_good: bool,
@@ -92,8 +92,8 @@
         observed.failed_share += (sample - observed.failed_share) * NEWEST_WEIGHT;
         observed.failed_at_ms = now_ms;
         let took_ms = took_ms as f64;
-        let answer_ms = observed.answer_ms.unwrap_or(took_ms);
-        observed.answer_ms = Some(answer_ms + (took_ms - answer_ms) * NEWEST_WEIGHT);
+        let response_ms = observed.response_ms.unwrap_or(took_ms);
+        observed.response_ms = Some(response_ms + (took_ms - response_ms) * NEWEST_WEIGHT);
     }
 
     /// Returns whether the endpoint is avoided because it was unreachable recently.
@@ -102,16 +102,16 @@
         self.observed.get(&endpoint).is_some_and(|observed| now_ms < observed.avoid_until_ms)
     }
 
-    /// Returns the share of recent answers that failed, from 0 to 1.
+    /// Returns the share of recent responses that failed, from 0 to 1.
     #[must_use]
     pub fn failed_share(&self, endpoint: EndpointKey, now_ms: u64) -> f64 {
         self.observed.get(&endpoint).map_or(0.0, |observed| decayed_share(observed, now_ms))
     }
 
-    /// Returns the average duration of answers, if any has ended.
+    /// Returns the average duration of responses, if any has ended.
     #[must_use]
-    pub fn answer_ms(&self, endpoint: EndpointKey) -> Option<f64> {
-        self.observed.get(&endpoint)?.answer_ms
+    pub fn response_ms(&self, endpoint: EndpointKey) -> Option<f64> {
+        self.observed.get(&endpoint)?.response_ms
     }
 
     /// Removes endpoints that are gone.
--- a/src/gateway/policy/limits.rs
+++ b/src/gateway/policy/limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits that endpoints set for all entries together.
 //!
 //! Load pattern: an engine recovers, or is throttled, and asks for a few requests per second while
-//! the fleet goes on sending its share of a burst to it. Only the entries that it answers know the
+//! the fleet goes on sending its share of a burst to it. Only the entries that it responds to know the
 //! limit; the others send on until they learn it. If each entry kept to the whole limit by itself,
 //! the engine would get a multiple of it.
 //!
@@ -25,7 +25,7 @@
 /// Window in which a limit is divided into shares.
 pub const WINDOW_MS: u64 = 4_000;
 /// A change younger than this is sent in each round, the rest in rotation: all engines of a zone
-/// may set limits at once.
+/// may set limits at the same time.
 const RECENT_CHANGE_MS: u64 = 2_000;
 /// Rounds in which each known limit is sent once, and the length of a round.
 const ROUNDS: u8 = 16;
@@ -50,7 +50,7 @@
         f64::from(self.0) / 1_000.0
     }
 
-    /// Returns the requests in a window; at least one, since only an answer shows that a limit has
+    /// Returns the requests in a window; at least one, since only a response shows that a limit has
     /// ended.
     fn in_window(self) -> usize {
         ((u64::from(self.0) * WINDOW_MS / 1_000_000) as usize).max(1)
@@ -105,12 +105,12 @@
 }
 
 impl Limits {
-    /// Records the limit in the answer to a request that was sent at `sent_ms`; `unix_ms` is the
+    /// Records the limit in the response to a request that was sent at `sent_ms`; `unix_ms` is the
     /// time of day.
     ///
-    /// An answer without a limit ends a limit only if its request was sent after the limit was last
-    /// stated, since answers overtake each other.
-    pub fn record_answer(
+    /// A response without a limit ends a limit only if its request was sent after the limit was last
+    /// stated, since responses overtake each other.
+    pub fn record_response(
         &mut self,
         endpoint: EndpointKey,
         named: Option<Rate>,
--- a/src/gateway/policy/load.rs
+++ b/src/gateway/policy/load.rs
@@ -87,10 +87,10 @@
 }
 
 impl Rows {
-    /// Splits a whole table into parts of about `most` rows. An empty table is one part.
+    /// Splits a whole table into parts of about `max_rows` rows. An empty table is one part.
     #[must_use]
-    pub fn split(rows: &[Row], most: usize) -> Vec<Self> {
-        let parts = rows.len().div_ceil(most.max(1)).clamp(1, usize::from(u8::MAX)) as u8;
+    pub fn split(rows: &[Row], max_rows: usize) -> Vec<Self> {
+        let parts = rows.len().div_ceil(max_rows.max(1)).clamp(1, usize::from(u8::MAX)) as u8;
         let mut split: Vec<Self> =
             (0..parts).map(|part| Self { part, parts, rows: Vec::new() }).collect();
         for row in rows {
@@ -143,7 +143,7 @@
 }
 
 impl Rejections {
-    /// How long a rejected request counts; clients retry after about this time.
+    /// How long a rejected request counts; callers retry after about this time.
     const RECENT_MS: u64 = 1_000;
     /// More than the slots of all endpoints that an operator orders at a time.
     const MAX_KEPT: usize = 4_096;
@@ -212,14 +212,14 @@
         rows_of(&self.own)
     }
 
-    /// Returns the rows of endpoints that got work since the last call, at most `most`.
-    pub fn take_updates(&mut self, most: usize) -> Vec<Row> {
+    /// Returns the rows of endpoints that got work since the last call, at most `max_rows`.
+    pub fn take_updates(&mut self, max_rows: usize) -> Vec<Row> {
         let unsent = std::mem::take(&mut self.unsent);
         let rows = unsent.into_iter().filter_map(|endpoint| {
             let work = self.own.get(&endpoint).copied()?;
             Some(Row { endpoint, work })
         });
-        rows.take(most).collect()
+        rows.take(max_rows).collect()
     }
 
     /// Applies part of a table from a source.
--- a/src/gateway/policy/prefill.rs
+++ b/src/gateway/policy/prefill.rs
@@ -1,20 +1,20 @@
-//! Model of how fast the engines of a service prefill prompts, fitted to the answers.
+//! Model of how fast the engines of a service prefill prompts, fitted to the responses.
 //!
 //! Engines prefill prompts in order of arrival, interleaved with the decoding steps of running
 //! requests, so the time to a first event grows with the tokens queued ahead plus the request's
 //! own. The slope is a least-squares fit through the origin with exponential decay of older
-//! answers.
+//! responses.
 
-/// Slope before any answer was observed, in ms per token.
+/// Slope before any response was observed, in ms per token.
 const PRIOR_MS_PER_TOKEN: f64 = 0.02;
-/// Weight of the prior, in squared tokens: that of five answers to prompts of 4,000 tokens.
+/// Weight of the prior, in squared tokens: that of five responses to prompts of 4,000 tokens.
 const PRIOR_WEIGHT: f64 = 5.0 * 4_000.0 * 4_000.0;
-/// Factor by which each answer decays the weight of earlier ones: about the last hundred count.
+/// Factor by which each response decays the weight of earlier ones: about the last hundred count.
 const DECAY: f64 = 0.99;
 /// Prompts with fewer tokens ahead are ignored: their waits are dominated by the network, not by
 /// prefill.
 const MIN_TOKENS: f64 = 1_500.0;
-/// Slower answers are ignored: the engine was stuck, which says nothing about its prefill speed.
+/// Slower responses are ignored: the engine was stuck, which says nothing about its prefill speed.
 const MAX_MS_PER_TOKEN: f64 = 0.2;
 /// Network time and the first decoding step.
 const BASE_MS: f64 = 50.0;
--- a/src/gateway/policy/prefix_index.rs
+++ b/src/gateway/policy/prefix_index.rs
@@ -96,10 +96,10 @@
         self.insert(placement.part.id(), location);
     }
 
-    /// Returns the placements that were used last, at most `most`, for an entry that has just
+    /// Returns the placements that were used last, at most `max_placements`, for an entry that has just
     /// started.
     #[must_use]
-    pub fn most_recent(&self, most: usize) -> Vec<Placement> {
+    pub fn most_recent(&self, max_placements: usize) -> Vec<Placement> {
         let mut all: Vec<(u64, Placement)> = Vec::new();
         for (part, locations) in &self.locations {
             let part = PartName::of(*part);
@@ -110,7 +110,7 @@
             );
         }
         all.sort_unstable_by_key(|(used_ms, _)| std::cmp::Reverse(*used_ms));
-        all.truncate(most);
+        all.truncate(max_placements);
         all.into_iter().map(|(_, placed)| placed).collect()
     }
 
@@ -181,9 +181,9 @@
         }
     }
 
-    /// Takes placements that were not sent to the other entries yet, at most `most`.
-    pub fn take_unsent(&mut self, most: usize) -> Vec<Placement> {
-        let count = self.unsent.len().min(most);
+    /// Takes placements that were not sent to the other entries yet, at most `max_placements`.
+    pub fn take_unsent(&mut self, max_placements: usize) -> Vec<Placement> {
+        let count = self.unsent.len().min(max_placements);
         self.unsent.drain(..count).collect()
     }
 }
--- a/src/gateway/policy/warmup.rs
+++ b/src/gateway/policy/warmup.rs
@@ -1,17 +1,17 @@
 //! Request rate limits for cold endpoints.
 //!
-//! Load pattern: the endpoints of an availability zone come back all at once, empty and cold, in
-//! the middle of a burst. They look least busy to every entry, so all entries send there at once. A
-//! cold endpoint that gets more than a few requests per second crashes, and all requests sent to it
-//! are lost.
+//! Load pattern: the endpoints of an availability zone come back all at the same time, empty and
+//! cold, in the middle of a burst. They look least busy to every entry, so all entries send there
+//! together. A cold endpoint that gets more than a few requests per second crashes, and all
+//! requests sent to it are lost.
 //!
 //! Hundreds of entries share a limit of a dozen requests per second and may not know of each other;
 //! a share for each would be less than one request. So only one entry sends to a cold endpoint: its
 //! designated sender, chosen by rendezvous hashing over the entries of the endpoint's zone. Entries
 //! whose views differ, because some are starting or partitioned, may choose two senders at a time,
-//! so each keeps to half of the limit. An entry that hears less than half of the entries that it
-//! knew is no sender: the others may have replaced it, and several such groups would each have a
-//! sender of their own.
+//! so each keeps to half of the limit. An entry that receives messages from less than half of
+//! the entries that it knew is no sender: the others may have replaced it, and several such groups
+//! would each have a sender of their own.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct View {
     candidates: Vec<Candidate>,
-    /// Whether this entry heard at least half of the entries that it knew.
+    /// Whether this entry received messages from at least half of the entries that it knew.
     has_quorum: bool,
     until_ms: u64,
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -235,7 +235,7 @@
                         self.bill(job, now_ms);
                     }
                     let took_ms = self.now_ms() - now_ms;
-                    self.health.borrow_mut().record_answer(
+                    self.health.borrow_mut().record_response(
                         choice.endpoint.key,
                         false,
                         took_ms,
@@ -275,13 +275,13 @@
         let load_table = self.shared.load_table();
         let prefix_index = self.shared.prefix_index();
         let health = self.health.borrow();
-        let pauses = self.pauses.borrow();
+        let event_gaps = self.event_gaps.borrow();
         let inputs = choose::Inputs {
             load_table: &load_table,
             prefix_index: &prefix_index,
             health: &health,
-            pauses: &pauses,
-            pause_limit_ms: job.route().gap_target_ms,
+            event_gaps: &event_gaps,
+            gap_limit_ms: job.route().gap_target_ms,
             zone: &self.shared.settings.zone,
             now_ms,
             latency_target_ms: f64::from(job.route().latency_target_ms),
@@ -320,7 +320,7 @@
             Ok(Ok(body)) => Some(body),
         };
         let is_good = body.is_some() && !is_failure;
-        self.health.borrow_mut().record_answer(response.endpoint.key, is_good, took_ms, now_ms);
+        self.health.borrow_mut().record_response(response.endpoint.key, is_good, took_ms, now_ms);
         if !is_good {
             job.may_have_run = true;
             slog::info!(self.log, "endpoint failed"; "request" => job.request.id.as_str(),
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -36,7 +36,7 @@
         accepting.filter(move |endpoint| self.evacuations.accepts(&endpoint.zone, key, now_ms))
     }
 
-    /// Returns whether this incarnation of an endpoint still accepts new requests.
+    /// Returns whether this process of an endpoint still accepts new requests.
     #[must_use]
     pub fn accepts(&self, endpoint: &directory::Endpoint, now_ms: u64) -> bool {
         let is_same = |known: &directory::Endpoint| {
@@ -51,17 +51,17 @@
 #[derive(Debug)]
 pub struct Shared {
     pub settings: settings::Gateway,
-    /// Identifies this incarnation of the entry.
+    /// Boot id of this entry, new at each start of its process.
     pub boot: u64,
     pub time: &'static clock::TimeOfDay,
     pub snapshot: ArcSwap<Snapshot>,
     pub is_ready: AtomicBool,
     pub is_draining: AtomicBool,
-    /// Set while the entry is stopping but still accepts new clients.
+    /// Set while the entry is stopping but still accepts new callers.
     pub accepts_while_draining: AtomicBool,
     /// Set shortly before the process exits: no new request is admitted.
     pub is_admission_closed: AtomicBool,
-    /// Start of the drain on the boot clock, moved forward while new clients are still accepted;
+    /// Start of the drain on the boot clock, moved forward while new callers are still accepted;
     /// `u64::MAX` if the entry is not stopping.
     pub draining_since_ms: AtomicU64,
     /// Number of live entries, including this one.
@@ -72,13 +72,13 @@
     pub counts_delivered: AtomicBool,
     /// Number of other live entries that are not stopping.
     pub serving_peers: AtomicUsize,
-    /// When the last client request arrived, on the boot clock.
+    /// When the last request of a caller arrived, on the boot clock.
     pub last_request_ms: AtomicU64,
     /// Number of requests in flight in this entry.
     pub active: AtomicU32,
     /// Admission control: rejects prompts while almost no engine capacity is free.
     pub admission: admission::AdmissionControl,
-    /// Wakes the control thread to send an update to the other entries at once, for example after a long
+    /// Wakes the control thread to send an update to the other entries immediately, for example after a long
     /// prompt was sent.
     pub urgent_update: Notify,
     /// Retry settings; they may be reloaded while the process runs.
@@ -218,7 +218,7 @@
         self.tally().add(self.boot, self.window(ago_ms), account);
     }
 
-    /// Drops incarnations of entries that have no counts in any window that can still be reported.
+    /// Drops the boot ids of entries that have no counts in any window that can still be reported.
     pub fn forget_old_counts(&self) {
         let first = self.window(0).saturating_sub(tally::KEPT_WINDOWS);
         self.tally().forget_before(first);
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -28,8 +28,8 @@
 /// Probes the store while this entry reads it, for as long as the process lives.
 ///
 /// A waiting watch cannot distinguish a store without changes from one that has stopped answering this
-/// instance. If that happened to all readers at once, no other entry would take over until the watches time
-/// out, and changes would take effect too late everywhere.
+/// instance. If that happened to all readers at the same time, no other entry would take over until the
+/// watches time out, and changes would take effect too late everywhere.
 pub(super) async fn probe<P: Platform>(control: Rc<Control<P>>) {
     loop {
         time::sleep(PROBE).await;
--- a/tests/gateway/backoff.rs
+++ b/tests/gateway/backoff.rs
@@ -5,7 +5,7 @@
 
 use crate::directory::endpoint;
 
-/// Guards against a longer wait that is ended by a shorter one in a later answer to an older
+/// Guards against a longer wait that is ended by a shorter one in a later response to an older
 /// request.
 #[test]
 fn a_shorter_wait_does_not_end_a_longer_one() {
--- a/tests/gateway/billing.rs
+++ b/tests/gateway/billing.rs
@@ -23,7 +23,7 @@
     assert_eq!(count(&living, 100, "court"), 6, "received twice, counted once");
 }
 
-/// All entries are killed at once, and the next duty holder loads what the former one had saved. Counts that
+/// All entries are killed together, and the next duty holder loads what the former one had saved. Counts that
 /// surviving entries send again must not be counted twice.
 #[test]
 fn saved_counts_are_merged_only_once() {
--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -5,7 +5,7 @@
 
 use briarwinch::gateway::directory::{Endpoint, EndpointKey};
 use briarwinch::gateway::policy::choose::{self, Inputs};
-use briarwinch::gateway::policy::{health, load, pauses, prefill, prefix_index};
+use briarwinch::gateway::policy::{event_gaps, health, load, prefill, prefix_index};
 use briarwinch::gateway::request::{Prompt, PromptPart};
 use briarwinch::gateway::route;
 use compact_str::CompactString;
@@ -41,7 +41,7 @@
     prefix_index: prefix_index::PrefixIndex,
     health: health::Health,
     prefill_model: prefill::PrefillModel,
-    pauses: pauses::Pauses,
+    event_gaps: event_gaps::EventGaps,
 }
 
 impl Entry {
@@ -51,8 +51,8 @@
             prefix_index: &self.prefix_index,
             health: &self.health,
             prefill_model: &self.prefill_model,
-            pauses: &self.pauses,
-            pause_limit_ms: 120,
+            event_gaps: &self.event_gaps,
+            gap_limit_ms: 120,
             zone: "a",
             now_ms: NOW_MS,
             latency_target_ms: TARGET_MS,
@@ -198,7 +198,7 @@
     assert_eq!(patient, endpoints[3].key, "in time for a longer latency target");
 }
 
-/// The endpoint that has a document cached has a queue longer than the client waits. Guards against
+/// The endpoint that has a document cached has a queue longer than the caller waits. Guards against
 /// a request that is sent there all the same: it would be lost, and the engine would have worked in
 /// vain.
 #[test]
@@ -265,8 +265,8 @@
 
 /// A guide suddenly becomes popular while the endpoint that has it cached has few free slots.
 /// Entries that go by the last load tables all find room there and overfill it together; the engine
-/// then preempts less urgent answers, and the requests beyond its slots wait for a whole other
-/// answer. At most one request of each entry may arrive there unreported.
+/// then preempts less urgent responses, and the requests beyond its slots wait for a whole other
+/// response. At most one request of each entry may arrive there unreported.
 #[test]
 fn entries_do_not_overfill_the_endpoint_of_a_popular_document_together() {
     const ENTRIES: u64 = 21;
@@ -426,8 +426,8 @@
     let mut random = StdRng::seed_from_u64(5);
     let mut entry = Entry::default();
     for _ in 0..20 {
-        entry.health.record_answer(endpoints[0].key, false, 20, NOW_MS);
-        entry.health.record_answer(endpoints[1].key, true, 20, NOW_MS);
+        entry.health.record_response(endpoints[0].key, false, 20, NOW_MS);
+        entry.health.record_response(endpoints[1].key, true, 20, NOW_MS);
     }
     for _ in 0..10 {
         assert_eq!(entry.plain(&endpoints, &mut random), endpoints[1].key);
@@ -437,7 +437,7 @@
 
 /// One engine of three is slower. Beside long prompts its events come 130 ms apart, those of the
 /// others 100 ms apart, and the limit of the user is 120 ms. No queue shows it. Guards against
-/// answers with late events that the other engines could have delivered in time.
+/// responses with late events that the other engines could have delivered in time.
 #[test]
 fn requests_avoid_engines_with_late_events_in_recent_streams() {
     let endpoints = endpoints(3);
@@ -445,31 +445,34 @@
     entry.prefix_index.record_sent(endpoints[0].key, &question(0).parts, NOW_MS);
     for endpoint in &endpoints {
         let longest_ms = if endpoint.key == endpoints[0].key { 130 } else { 100 };
-        (0..6).for_each(|_| entry.pauses.record_stream(endpoint.key, 90, longest_ms, NOW_MS - 500));
+        (0..6).for_each(|_| {
+            entry.event_gaps.record_stream(endpoint.key, 90, longest_ms, NOW_MS - 500)
+        });
     }
     for seed in 0..20 {
         let mut random = StdRng::seed_from_u64(seed);
         let chosen = entry.choose(&endpoints, &question(seed + 1), &mut random);
         assert_ne!(chosen, endpoints[0].key, "seed {seed}");
     }
-    let late_share = |limit_ms, now_ms| entry.pauses.late_share(endpoints[0].key, limit_ms, now_ms);
-    assert!(late_share(500, NOW_MS) < 1e-9, "in time for clients with another limit");
+    let late_share =
+        |limit_ms, now_ms| entry.event_gaps.late_share(endpoints[0].key, limit_ms, now_ms);
+    assert!(late_share(500, NOW_MS) < 1e-9, "in time for callers with another limit");
     assert!(late_share(120, NOW_MS + 60_000) < 1e-9, "old streams do not count");
 }
 
-/// A process that was frozen for seconds sees that pause in all its streams, whatever their
+/// A process that was frozen for seconds sees that gap in all its streams, whatever their
 /// engines.
 #[test]
 fn stalls_and_short_streams_are_not_counted_as_late() {
     let endpoint = endpoints(1)[0].key;
-    let mut pauses = pauses::Pauses::default();
-    (0..10).for_each(|_| pauses.record_stream(endpoint, 90, 6_200, NOW_MS));
-    (0..10).for_each(|_| pauses.record_stream(endpoint, 2, 300, NOW_MS));
-    assert!(pauses.late_share(endpoint, 120, NOW_MS) < 1e-9);
+    let mut event_gaps = event_gaps::EventGaps::default();
+    (0..10).for_each(|_| event_gaps.record_stream(endpoint, 90, 6_200, NOW_MS));
+    (0..10).for_each(|_| event_gaps.record_stream(endpoint, 2, 300, NOW_MS));
+    assert!(event_gaps.late_share(endpoint, 120, NOW_MS) < 1e-9);
 }
 
 #[test]
-fn prefill_speed_is_fitted_to_answers() {
+fn prefill_speed_is_fitted_to_responses() {
     let mut prefill_model = prefill::PrefillModel::default();
     for _ in 0..200 {
         prefill_model.observe_first_event(10_000, 50 + 300);
@@ -483,7 +486,7 @@
     prefill_model.observe_first_event(10_000, 60_000);
     assert!(
         (prefill_model.prefill_ms(10_000) - before).abs() < 1.0,
-        "answers of a stuck engine are ignored"
+        "responses of a stuck engine are ignored"
     );
 }
 
--- a/tests/gateway/connections.rs
+++ b/tests/gateway/connections.rs
@@ -12,14 +12,14 @@
 
 /// Starts an endpoint that accepts one connection, answers each request head with the next of these
 /// responses and closes the connection after the last.
-fn endpoint(answers: Vec<&'static [u8]>) -> SocketAddr {
+fn endpoint(responses: Vec<&'static [u8]>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("an address");
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        for answer in answers {
+        for response in responses {
             read_head(&mut stream);
-            stream.write_all(answer).expect("the answer leaves");
+            stream.write_all(response).expect("the response leaves");
         }
     });
     addr
@@ -47,9 +47,9 @@
     Ok((head.status, body.to_vec()))
 }
 
-fn exchange_once(answer: &'static [u8]) -> Result<(u16, Vec<u8>), Error> {
+fn exchange_once(response: &'static [u8]) -> Result<(u16, Vec<u8>), Error> {
     run(async {
-        let mut connection = Connection::open(endpoint(vec![answer]), LIMIT).await?;
+        let mut connection = Connection::open(endpoint(vec![response]), LIMIT).await?;
         exchange(&mut connection).await
     })
 }
@@ -62,8 +62,8 @@
         (b"HTTP/1.1 200 OK\r\n\r\nabc", b"abc"),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", b""),
     ];
-    for (answer, body) in cases {
-        assert_eq!(exchange_once(answer).expect("whole"), (200, body.to_vec()));
+    for (response, body) in cases {
+        assert_eq!(exchange_once(response).expect("whole"), (200, body.to_vec()));
     }
 }
 
@@ -77,8 +77,8 @@
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nabc",
         b"HTTP/1.1 200 OK\r\ncontent-le",
     ];
-    for answer in cases {
-        assert!(exchange_once(answer).is_err(), "{}", String::from_utf8_lossy(answer));
+    for response in cases {
+        assert!(exchange_once(response).is_err(), "{}", String::from_utf8_lossy(response));
     }
 }
 
@@ -89,11 +89,11 @@
         b"HTTP/1.1 200 OK\r\ncontent-length: many\r\n\r\n",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nabc",
     ];
-    for answer in cases {
+    for response in cases {
         assert!(
-            matches!(exchange_once(answer), Err(Error::Malformed)),
+            matches!(exchange_once(response), Err(Error::Malformed)),
             "{}",
-            String::from_utf8_lossy(answer)
+            String::from_utf8_lossy(response)
         );
     }
     assert!(matches!(exchange_once(b""), Err(Error::Closed)));
@@ -104,8 +104,8 @@
 #[test]
 fn a_connection_with_unexpected_bytes_is_not_reused() {
     run(async {
-        let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
-        let mut connection = Connection::open(endpoint(vec![answer]), LIMIT).await.expect("open");
+        let response = b"HTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\naHTTP/1.1 200 OK\r\ncontent-length: 1\r\n\r\nb";
+        let mut connection = Connection::open(endpoint(vec![response]), LIMIT).await.expect("open");
         assert_eq!(exchange(&mut connection).await.expect("whole"), (200, b"a".to_vec()));
         assert!(!connection.is_reusable());
     });
--- a/tests/gateway/departures.rs
+++ b/tests/gateway/departures.rs
@@ -1,4 +1,5 @@
-//! Tests of endpoint departures: which incarnation they apply to, and how fast all entries learn of them.
+//! Tests of endpoint departures: which process of an endpoint they apply to, and how fast all entries learn
+//! of them.
 
 use briarwinch::gateway::departures::{Departure, Departures};
 use briarwinch::gateway::directory::Endpoint;
@@ -11,16 +12,16 @@
 }
 
 /// Guards against an old list or a delayed peer that brings a leaving endpoint back, and against a departure
-/// that also excludes the endpoint's next incarnation.
+/// that also excludes the endpoint's next process.
 #[test]
-fn a_departure_applies_to_one_incarnation_of_an_endpoint() {
+fn a_departure_applies_to_one_process_of_an_endpoint() {
     let mut departures = Departures::default();
     assert!(departures.record(Departure::of(&started(5_000)), 100));
     assert!(!departures.record(Departure::of(&started(5_000)), 200), "already known");
     assert!(departures.contains(&started(5_000)));
-    assert!(!departures.contains(&started(9_000)), "a new incarnation");
+    assert!(!departures.contains(&started(9_000)), "a new process");
     assert!(departures.record(Departure::of(&started(9_000)), 300));
-    assert!(!departures.record(Departure::of(&started(5_000)), 400), "an earlier incarnation");
+    assert!(!departures.record(Departure::of(&started(5_000)), 400), "an earlier process");
     assert!(departures.contains(&started(9_000)));
 }
 
--- a/tests/gateway/drain.rs
+++ b/tests/gateway/drain.rs
@@ -10,7 +10,7 @@
     steps.into_iter().find(|(_, step)| *step != Step::Wait).expect("the stop ends")
 }
 
-/// Guards against a request that is forwarded and then cut off: a client's connection is idle for a moment,
+/// Guards against a request that is forwarded and then cut off: a caller's connection is idle for a moment,
 /// the entry decides to exit, and the next request arrives in the 10 ms until the process is gone.
 #[test]
 fn a_request_between_the_exit_decision_and_the_exit_is_not_cut_off() {
@@ -37,7 +37,7 @@
     assert!(end.0 > close.0 && end.0 < 11_000);
 }
 
-/// Guards against an idle entry that exits while the load balancer still sends new clients to it.
+/// Guards against an idle entry that exits while the load balancer still sends new callers to it.
 #[test]
 fn an_idle_entry_waits_until_the_load_balancer_has_noticed() {
     let mut stop = Stop::begin(3_000, STOP_S);
@@ -51,13 +51,13 @@
 fn streams_that_would_delay_a_stop_are_not_begun() {
     let delays = |after_ms: u64, run_ms: u64| drain::delays_stop(3_000, 3_000 + after_ms, run_ms);
     assert!(delays(0, 5_000), "a long stream, from the start");
-    assert!(!delays(0, 400), "a short stream ends before clients are sent elsewhere");
+    assert!(!delays(0, 400), "a short stream ends before callers are sent elsewhere");
     assert!(delays(2_400, 400));
     assert!(delays(2_600, 0), "the load balancer has noticed");
     assert!(!drain::delays_stop(u64::MAX, 3_000, 5_000), "no stop is in progress");
 }
 
-/// Guards against all clients moving to a single entry: four entries are restarted two seconds apart, and
+/// Guards against all callers moving to a single entry: four entries are restarted two seconds apart, and
 /// only one is back, and possibly frozen, when the last one is asked to stop.
 #[test]
 fn a_stopping_entry_accepts_clients_for_a_while_when_few_others_do() {
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Guards against slow discovery while a fleet grows: by half at once, then by three quarters.
+/// Guards against slow discovery while a fleet grows: by half in one step, then by three quarters.
 #[test]
 fn started_entries_are_known_everywhere_within_a_second() {
     // The last one grows to 341.
@@ -53,7 +53,7 @@
     }
 }
 
-/// Guards against slow discovery when all entries are killed at once and restart a second later.
+/// Guards against slow discovery when all entries are killed together and restart a second later.
 #[test]
 fn entries_of_a_killed_fleet_rediscover_each_other() {
     for (entries, zones) in SIZES {
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -13,10 +13,10 @@
 /// The bound holds for any span of this length, once the limit has been stated for [`CONTACT_MS`].
 const SPAN_MS: u64 = 4_000;
 const CONTACT_MS: u64 = 3_000;
-/// An entry is bound by the limit this long after it passed on the first answer with it.
+/// An entry is bound by the limit this long after it passed on the first response with it.
 const BOUND_AFTER_MS: u64 = 500;
-/// Time from a send to the head of its answer.
-const ANSWER_MS: u64 = 100;
+/// Time from a send to the head of its response.
+const RESPONSE_MS: u64 = 100;
 
 fn rate(per_s: f64) -> Rate {
     Rate::from_per_s(per_s).expect("a rate")
@@ -29,7 +29,7 @@
 /// Recent events of an entry that matter for the bound.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
-    /// When it first passed on an answer with the limit.
+    /// When it first passed on a response with the limit.
     bound_ms: Option<u64>,
     /// Until when its sends are not counted, because it was partitioned, frozen or started.
     excused_ms: u64,
@@ -41,12 +41,12 @@
     limit: Option<Rate>,
     named_ms: u64,
     records: Vec<Record>,
-    /// Requests under way: when each is answered, which entry sent it, and when.
+    /// Requests under way: when each gets its response, which entry sent it, and when.
     under_way: VecDeque<(u64, usize, u64)>,
     /// Arrivals from entries that are bound and not excused.
     counted: VecDeque<u64>,
     total: usize,
-    most: usize,
+    max_in_span: usize,
 }
 
 impl Burst {
@@ -58,7 +58,7 @@
             under_way: VecDeque::new(),
             counted: VecDeque::new(),
             total: 0,
-            most: 0,
+            max_in_span: 0,
         }
     }
 
@@ -71,7 +71,7 @@
         let end_ms = fleet.now_ms + span_ms;
         while fleet.now_ms < end_ms {
             self.records.resize_with(fleet.nodes.len(), Record::default);
-            self.answer(fleet);
+            self.respond(fleet);
             for index in 0..fleet.nodes.len() {
                 self.step(fleet, index);
             }
@@ -79,7 +79,7 @@
         }
     }
 
-    fn answer(&mut self, fleet: &mut Fleet) {
+    fn respond(&mut self, fleet: &mut Fleet) {
         let now_ms = fleet.now_ms;
         while let Some((_, index, sent_ms)) =
             self.under_way.pop_front_if(|(at_ms, ..)| *at_ms <= now_ms)
@@ -88,7 +88,7 @@
             if node.is_silent {
                 continue;
             }
-            node.limits.record_answer(key(0), self.limit, sent_ms, now_ms, now_ms);
+            node.limits.record_response(key(0), self.limit, sent_ms, now_ms, now_ms);
             if self.limit.is_some() {
                 self.records[index].bound_ms.get_or_insert(now_ms);
             }
@@ -114,7 +114,7 @@
             return;
         }
         node.limits.record_send(key(0), now_ms);
-        self.under_way.push_back((now_ms + ANSWER_MS, index, now_ms));
+        self.under_way.push_back((now_ms + RESPONSE_MS, index, now_ms));
         self.total += 1;
         let is_bound = record.bound_ms.is_some_and(|bound_ms| now_ms >= bound_ms + BOUND_AFTER_MS);
         if is_bound && now_ms >= record.excused_ms {
@@ -128,7 +128,7 @@
         }
         self.counted.push_back(now_ms);
         if now_ms >= self.named_ms + CONTACT_MS {
-            self.most = self.most.max(self.counted.len());
+            self.max_in_span = self.max_in_span.max(self.counted.len());
         }
     }
 }
@@ -158,7 +158,7 @@
         troubles in troubles(),
     ) {
         let burst = run_burst(size.0, size.1, per_s, &troubles);
-        prop_assert!(burst.most as f64 <= bound(per_s), "{} in a span", burst.most);
+        prop_assert!(burst.max_in_span as f64 <= bound(per_s), "{} in a span", burst.max_in_span);
     }
 }
 
@@ -168,7 +168,7 @@
     let troubles =
         [(Trouble::Heal, 0.0, 6_000), (Trouble::Kill, 0.3, 3_000), (Trouble::Heal, 0.0, 8_000)];
     let burst = run_burst(340, 7, 2.0, &troubles);
-    assert!(burst.most as f64 <= bound(2.0), "{} in a span", burst.most);
+    assert!(burst.max_in_span as f64 <= bound(2.0), "{} in a span", burst.max_in_span);
 }
 
 /// Guards against a limit that is kept by sending nothing, and against one that never ends for
@@ -183,7 +183,7 @@
         let before = burst.total;
         burst.run_ms(&mut fleet, used_s * 1_000);
         let per_s = (burst.total - before) as f64 / used_s as f64;
-        println!("{entries} entries: {per_s} a second, {} in a span", burst.most);
+        println!("{entries} entries: {per_s} a second, {} in a span", burst.max_in_span);
         assert!((1.8..=2.2).contains(&per_s), "{entries} entries: {per_s} a second");
         burst.limit = None;
         burst.run_ms(&mut fleet, 5_000);
@@ -192,15 +192,15 @@
     }
 }
 
-/// Guards against an answer to an older request that ends a limit which the endpoint has just
+/// Guards against a response to an older request that ends a limit which the endpoint has just
 /// stated.
 #[test]
-fn an_overtaken_answer_does_not_end_a_limit() {
+fn an_overtaken_response_does_not_end_a_limit() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    assert!(limits.record_answer(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
-    assert!(limits.record_answer(endpoint, None, 950, 1_050, START_MS).is_none());
+    assert!(limits.record_response(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
+    assert!(limits.record_response(endpoint, None, 950, 1_050, START_MS).is_none());
     assert_eq!(limits.rate(endpoint), Some(rate(2.0)));
-    assert!(limits.record_answer(endpoint, None, 1_060, 1_100, START_MS).is_some());
+    assert!(limits.record_response(endpoint, None, 1_060, 1_100, START_MS).is_some());
     assert_eq!(limits.rate(endpoint), None);
 }
 
@@ -209,13 +209,13 @@
 #[test]
 fn older_updates_do_not_replace_newer_ones() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    let told = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
-    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_000).is_some());
-    assert!(limits.apply_update(told(60, None), 1_010).is_some());
-    assert!(limits.apply_update(told(50, Some(rate(2.0))), 1_020).is_none());
+    let update = |stamp, rate| LimitUpdate { endpoint, stamp, rate };
+    assert!(limits.apply_update(update(50, Some(rate(2.0))), 1_000).is_some());
+    assert!(limits.apply_update(update(60, None), 1_010).is_some());
+    assert!(limits.apply_update(update(50, Some(rate(2.0))), 1_020).is_none());
     assert_eq!(limits.rate(endpoint), None);
     assert!(
-        limits.apply_update(told(60, Some(rate(3.0))), 1_030).is_some(),
+        limits.apply_update(update(60, Some(rate(3.0))), 1_030).is_some(),
         "stated at the same time"
     );
     assert_eq!(limits.rate(endpoint), Some(rate(3.0)));
@@ -228,14 +228,14 @@
     const ENDPOINTS: usize = 600;
     let mut limits = Limits::default();
     for index in 0..ENDPOINTS {
-        limits.record_answer(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
+        limits.record_response(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
     }
     assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "recent changes");
-    let told: Vec<Vec<LimitUpdate>> =
+    let sent: Vec<Vec<LimitUpdate>> =
         (0..16).map(|turn| limits.updates(10_000 + turn * 200)).collect();
-    let most = told.iter().map(Vec::len).max().unwrap_or(0);
-    assert!(most <= ENDPOINTS / 8, "{most} at once");
-    let all: HashSet<EndpointKey> = told.iter().flatten().map(|told| told.endpoint).collect();
+    let max_count = sent.iter().map(Vec::len).max().unwrap_or(0);
+    assert!(max_count <= ENDPOINTS / 8, "{max_count} at the same time");
+    let all: HashSet<EndpointKey> = sent.iter().flatten().map(|update| update.endpoint).collect();
     assert_eq!(all.len(), ENDPOINTS);
 }
 
@@ -249,6 +249,6 @@
     assert_eq!(
         limits::share(rate(0.0), first(1)),
         1,
-        "only an answer shows that a limit has ended"
+        "only a response shows that a limit has ended"
     );
 }
--- a/tests/gateway/pulls.rs
+++ b/tests/gateway/pulls.rs
@@ -2,7 +2,7 @@
 
 use briarwinch::gateway::fleet::pulls::SoftStatePull;
 
-/// Guards against pulling the soft state of all peers at once. A starting entry that discovers 27 peers
+/// Guards against pulling the soft state of all peers together. A starting entry that discovers 27 peers
 /// within milliseconds asked all of them. Over its link of 10 Mbit/s no answer arrived in time, retries
 /// failed likewise, and a configuration accepted meanwhile took effect seven seconds late.
 #[test]
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -56,7 +56,7 @@
     assert!(f64::from(spent) <= ALLOWED.extra, "{spent} in one window, with one restart of four");
 }
 
-/// An endpoint fails while the budget is used up, so its failure becomes the answer to the client.
+/// An endpoint fails while the budget is used up, so its failure becomes the response to the caller.
 /// Guards against a query for room that itself uses up a retry.
 #[test]
 fn has_room_spends_nothing() {
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -85,7 +85,7 @@
     assert!(table.has_accounts());
 }
 
-/// Guards against a short urgent answer that stops in the middle. Urgent short questions and long reviews
+/// Guards against a short urgent response that stops in the middle. Urgent short questions and long reviews
 /// of an account both have the account's priority. With equal ranks a full engine would preempt the newest
 /// of them, the short question, and go on with the long review.
 #[test]
--- a/tests/gateway/succession.rs
+++ b/tests/gateway/succession.rs
@@ -90,7 +90,7 @@
     assert_eq!(next.epoch(end_ms), None, "its term counts from the write that took effect");
 }
 
-/// All entries are killed at once and restart, and the lease names one of them. If that entry waited for the
+/// All entries are killed together and restart, and the lease names one of them. If that entry waited for the
 /// term of its former process, no entry would report usage for a term, although no other can hold the lease.
 #[test]
 fn a_restarted_entry_takes_its_former_lease_at_once() {
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -24,7 +24,7 @@
     cold: Vec<ColdEndpoints>,
     arrivals: HashMap<EndpointKey, VecDeque<u64>>,
     total: usize,
-    most: usize,
+    max_per_s: usize,
 }
 
 impl Burst {
@@ -36,7 +36,7 @@
             cold: vec![ColdEndpoints::default(); entries],
             arrivals: HashMap::new(),
             total: 0,
-            most: 0,
+            max_per_s: 0,
         }
     }
 
@@ -88,7 +88,7 @@
         }
         arrivals.push_back(now_ms);
         self.total += 1;
-        self.most = self.most.max(arrivals.len());
+        self.max_per_s = self.max_per_s.max(arrivals.len());
     }
 }
 
@@ -115,11 +115,11 @@
         troubles in troubles(),
     ) {
         let burst = run_burst(size.0, size.1, &troubles);
-        prop_assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+        prop_assert!(burst.max_per_s as f64 <= BOUND, "{} in a second", burst.max_per_s);
     }
 }
 
-/// The same in the largest fleet, in which all entries restart at once.
+/// The same in the largest fleet, in which all entries restart together.
 #[test]
 fn the_largest_fleet_keeps_the_bound_while_all_entries_restart() {
     let troubles = [
@@ -129,7 +129,7 @@
         (Trouble::CutOff, 0.3, 3_000),
     ];
     let burst = run_burst(340, 7, &troubles);
-    assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+    assert!(burst.max_per_s as f64 <= BOUND, "{} in a second", burst.max_per_s);
 }
 
 /// Guards against a bound that is kept by sending nothing: cold endpoints would idle through a
@@ -142,9 +142,13 @@
         let mut burst = Burst::begin(&fleet, zones);
         burst.run_ms(&mut fleet, 5_000);
         let per_s = burst.total as f64 / 5.0 / ENDPOINTS as f64;
-        println!("{entries} entries: {per_s} a second each, {} at most", burst.most);
+        println!("{entries} entries: {per_s} a second each, {} at most", burst.max_per_s);
         assert!(per_s >= 0.9 * PER_S, "{entries} entries: {per_s} a second");
-        assert!(burst.most as f64 <= BOUND, "{entries} entries: {} in a second", burst.most);
+        assert!(
+            burst.max_per_s as f64 <= BOUND,
+            "{entries} entries: {} in a second",
+            burst.max_per_s
+        );
     }
 }
 
@@ -212,5 +216,5 @@
         (Trouble::Heal, 0.9724002694868057, 2_731),
     ];
     let burst = run_burst(22, 3, &troubles);
-    assert!(burst.most as f64 <= BOUND, "{} in a second", burst.most);
+    assert!(burst.max_per_s as f64 <= BOUND, "{} in a second", burst.max_per_s);
 }
