--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -35,7 +35,7 @@
     gateway: Rc<Gateway>,
     endpoint: EndpointKey,
     work: load::Work,
-    /// Prompt tokens to be read before the first event, including those of requests ahead in the queue.
+    /// Prompt tokens to prefill before the first event, including those of requests ahead in the queue.
     prefill_tokens: u64,
 }
 
@@ -47,7 +47,7 @@
         Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, prefill_tokens }
     }
 
-    /// Prompt tokens to be read before the first event, as of the time of the send.
+    /// Prompt tokens to prefill before the first event, as of the time of the send.
     #[must_use]
     pub fn prefill_tokens(&self) -> u64 {
         self.prefill_tokens
--- a/src/gateway/directory.rs
+++ b/src/gateway/directory.rs
@@ -3,7 +3,7 @@
 //! During an outage of the store the records of live endpoints expire, and they reappear soon after the
 //! store is back. So an endpoint whose record disappears around the store's return is kept for a grace period
 //! and removed only if it is still missing then. An endpoint that has reported that it is leaving is removed
-//! at once.
+//! immediately.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -116,7 +116,7 @@
     }
 
     /// Applies a complete list from the store and returns whether it changed anything. A list does not say
-    /// since when its zones are evacuated, so zones that it adds close at once.
+    /// since when its zones are evacuated, so zones that it adds close immediately.
     pub fn replace(
         &mut self,
         listed: impl Iterator<Item = CompactString>,
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -34,8 +34,8 @@
 const MAX_LIMITS: usize = 60;
 /// Maximum number of departures in a message; about 14 bytes each.
 const MAX_DEPARTURES: usize = 75;
-/// Maximum number of parts queued for forwarding. Older ones are dropped, so that engines may have to read
-/// them again.
+/// Maximum number of parts queued for forwarding. Older ones are dropped, so that engines may have to
+/// prefill them again.
 const MAX_QUEUED_PARTS: usize = 4_000;
 
 pub(super) fn push_roster(to: &[SocketAddr], roster: roster::Roster, out: &mut Vec<Outgoing>) {
--- a/src/gateway/fleet/prefix_recovery.rs
+++ b/src/gateway/fleet/prefix_recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of prefix cache locations from the engines when an entry starts.
 //!
-//! When all entries die together and restart a second later under full load, no entry knows which engine has
-//! which prompt in its prefix cache. Every prompt is then read again, and all requests wait behind that. The
-//! engines keep running meanwhile and can list the prompt parts that they hold.
+//! When all entries die together and restart a second later under full load, no entry knows which engine
+//! has which prompt in its prefix cache. Every prompt is then prefilled again, and all requests wait behind
+//! that. The engines keep running meanwhile and can list the prompt parts that they hold.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
 
 /// Interval between checks whether the endpoints are known.
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Smaller parts are not sent to the other entries: an engine reads them again sooner than they are sent.
+/// Smaller parts are not sent to the other entries: an engine prefills them again sooner than they are sent.
 const MIN_SENT_TOKENS: u32 = 1_000;
 
 /// Queries the engines of this entry's availability zone once for the prompt parts that they hold, and
--- a/src/gateway/fleet/pulls.rs
+++ b/src/gateway/fleet/pulls.rs
@@ -45,9 +45,9 @@
 
 /// State that an entry loses when it stops and obtains from other entries after its next start.
 ///
-/// Without it, an entry that has just started would have engines read prompts again that are in their prefix
-/// cache, until the other entries send each part anew. As holder of the duties it would seal billing windows
-/// without the counts of entries that have ended.
+/// Without it, an entry that has just started would have engines prefill prompts again that are in their
+/// prefix cache, until the other entries send each part anew. As holder of the duties it would seal billing
+/// windows without the counts of entries that have ended.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SoftState {
     placements: Vec<prefix_index::Placement>,
--- a/src/gateway/policy/admission.rs
+++ b/src/gateway/policy/admission.rs
@@ -76,8 +76,8 @@
     /// Decides whether a prompt is sent while this share of the engines is free, and records the
     /// decision.
     ///
-    /// `priority` is that of the request, which its client account may have set. Fairness is owed
-    /// to a kind of request, so it goes by the priority of the route.
+    /// `priority` is that of the request, which its client account may have set. Fairness
+    /// applies to kinds of requests, so it is computed by the priority of the route.
     pub fn admit(&self, priority: u8, route_priority: u8, free_share: f64, now_ms: u64) -> bool {
         let rank = usize::from(priority).min(RANKS - 1);
         let route_rank = usize::from(route_priority).min(RANKS - 1);
@@ -107,7 +107,7 @@
     pub fn ages(&self, now_ms: u64) -> Ages {
         let ranks = self.ranks.lock().unwrap_or_else(PoisonError::into_inner);
         let age = |at_ms: u64| {
-            // Rounded up: rounded down, an age that entries pass to and fro would never grow.
+            // Rounded up: rounded down, an age that entries send back and forth would never grow.
             let steps = now_ms.saturating_sub(at_ms).div_ceil(AGE_STEP_MS);
             u8::try_from(steps).unwrap_or(AGE_MAX)
         };
--- a/src/gateway/policy/backoff.rs
+++ b/src/gateway/policy/backoff.rs
@@ -14,8 +14,8 @@
 /// One requested wait.
 #[derive(Clone, Copy, Debug)]
 struct Wait {
-    /// Start of the endpoint process that asked, so that a later process under the same id is not
-    /// held to it.
+    /// Start of the endpoint process that asked, so that the wait does not apply to a later
+    /// process under the same id.
     started_unix_ms: u64,
     until_ms: u64,
 }
--- a/src/gateway/policy/choose.rs
+++ b/src/gateway/policy/choose.rs
@@ -13,7 +13,7 @@
 //!
 //! Load pattern for plain services: few slots, responses of some ten ms, endpoints of unequal speed,
 //! some of which fail or hang. Requests go to the endpoint with the shortest expected response time,
-//! given its requests under way.
+//! given its requests in progress.
 
 use compact_str::CompactString;
 use rand::Rng;
@@ -91,7 +91,7 @@
     pub cost_ms: f64,
     /// Prompt tokens that it has to prefill.
     pub unread_tokens: u32,
-    /// Work known to be under way there.
+    /// Work known to be in progress there.
     pub work: load::Work,
     /// Expected time to the first event.
     pub first_ms: f64,
--- a/src/gateway/policy/load.rs
+++ b/src/gateway/policy/load.rs
@@ -1,4 +1,4 @@
-//! Load table: the work under way at each endpoint. The requests of this entry are known exactly,
+//! Load table: the work in progress at each endpoint. The requests of this entry are known exactly,
 //! those of other entries as they report them.
 //!
 //! Reports by the endpoints themselves are some hundred ms old when they arrive, and all entries
@@ -23,7 +23,7 @@
 /// endpoint that is not full.
 const MAX_RECENT_SENDS: usize = 64;
 
-/// Work under way at an endpoint.
+/// Work in progress at an endpoint.
 #[derive(
     Clone,
     Copy,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Work under way, by endpoint.
+/// Work in progress, by endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct LoadTable {
     own: HashMap<EndpointKey, Work>,
@@ -340,7 +340,7 @@
         self.reports.insert(endpoint, Report { requests, at_ms: now_ms });
     }
 
-    /// Returns all work known to be under way at an endpoint.
+    /// Returns all work known to be in progress at an endpoint.
     #[must_use]
     pub fn work_at(&self, endpoint: EndpointKey, now_ms: u64) -> Work {
         let own = self.own.get(&endpoint).copied().unwrap_or_default();
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Locks the load table: work in flight by endpoint.
+    /// Locks the load table: work in progress by endpoint.
     pub fn load_table(&self) -> MutexGuard<'_, load::LoadTable> {
         lock(&self.load_table)
     }
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -17,7 +17,7 @@
 /// endpoints that leave keep serving for seconds after they announce it.
 const COALESCE: Duration = Duration::from_millis(300);
 /// A change that a watch returns after waiting at least this long has just happened: earlier changes are
-/// returned at once, also by a slow store.
+/// returned immediately, also by a slow store.
 const LIVE_MS: u64 = 500;
 /// Time after its start before an entry knows whether others read the store.
 const DISCOVERY_MS: u64 = 600;
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -1,5 +1,6 @@
-//! Tests of the endpoint directory: leaving endpoints are removed at once, endpoints whose records expired
-//! during an outage of the store are kept for a grace period, and old data never replaces newer data.
+//! Tests of the endpoint directory: leaving endpoints are removed immediately, endpoints whose records
+//! expired during an outage of the store are kept for a grace period, and old data never replaces newer
+//! data.
 
 use briarwinch::gateway::directory::{Change, Directory, Endpoint, EndpointKey, Event};
 
--- a/tests/gateway/fleet.rs
+++ b/tests/gateway/fleet.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Guards against prompts that are read again: all entries know where each prompt part was placed.
+/// Guards against prompts that are prefilled again: all entries know where each prompt part was placed.
 #[test]
 fn placements_reach_every_entry() {
     use briarwinch::gateway::request::PromptPart;
