--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -35,7 +35,7 @@
     gateway: Rc<Gateway>,
     endpoint: EndpointKey,
     work: load::Work,
-    /// Prompt tokens to be read before the first event, including those of requests ahead in the queue.
+    /// Prompt tokens to prefill before the first event, including those of requests ahead in the queue.
     prefill_tokens: u64,
 }
 
@@ -47,7 +47,7 @@
         Self { gateway: Rc::clone(gateway), endpoint: choice.endpoint.key, work, prefill_tokens }
     }
 
-    /// Prompt tokens to be read before the first event, as of the time of the send.
+    /// Prompt tokens to prefill before the first event, as of the time of the send.
     #[must_use]
     pub fn prefill_tokens(&self) -> u64 {
         self.prefill_tokens
@@ -266,7 +266,7 @@
         }
         let unix_ms = self.shared.time.unix_ms();
         let mut limits = self.shared.limits();
-        let change = limits.record_answer(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
+        let change = limits.record_response(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
             // Without the announcement the other entries would go on at their previous rate.
--- a/src/gateway/fleet/exchange/sending.rs
+++ b/src/gateway/fleet/exchange/sending.rs
@@ -28,14 +28,14 @@
 const MAX_ROWS: usize = 75;
 /// Maximum number of prompt parts in a message; 16 bytes each.
 const MAX_PLACEMENTS: usize = 70;
-/// Maximum number of placement messages in one tick; the start of a day places hundreds of parts at once.
+/// Maximum number of placement messages in one tick; the start of a day places hundreds of parts.
 const MAX_PLACEMENT_MESSAGES: usize = 8;
 /// Maximum number of endpoint limits in a message; about 18 bytes each.
 const MAX_LIMITS: usize = 60;
 /// Maximum number of departures in a message; about 14 bytes each.
 const MAX_DEPARTURES: usize = 75;
-/// Maximum number of parts queued for forwarding. Older ones are dropped, so that engines may have to read
-/// them again.
+/// Maximum number of parts queued for forwarding. Older ones are dropped, so that engines may have to
+/// prefill them again.
 const MAX_QUEUED_PARTS: usize = 4_000;
 
 pub(super) fn push_roster(to: &[SocketAddr], roster: roster::Roster, out: &mut Vec<Outgoing>) {
@@ -191,7 +191,7 @@
         }
         self.last.sums_round_ms = now_ms;
         load_table.take_updates(0);
-        // There is no table for this entry's own boot, so nothing is subtracted from the sums.
+        // There is no table for this entry's own boot id, so nothing is subtracted from the sums.
         let (_, sums) = load_table.table_excluding(self.identity.boot, now_ms);
         let is_old = now_ms >= self.last.sums_ms + UNCHANGED_MS;
         let is_changed = sums != self.last_sums || is_old;
--- a/src/gateway/watch.rs
+++ b/src/gateway/watch.rs
@@ -17,7 +17,7 @@
 /// endpoints that leave keep serving for seconds after they announce it.
 const COALESCE: Duration = Duration::from_millis(300);
 /// A change that a watch returns after waiting at least this long has just happened: earlier changes are
-/// returned at once, also by a slow store.
+/// returned immediately, also by a slow store.
 const LIVE_MS: u64 = 500;
 /// Time after its start before an entry knows whether others read the store.
 const DISCOVERY_MS: u64 = 600;
@@ -28,8 +28,8 @@
 /// Probes the store while this entry reads it, for as long as the process lives.
 ///
 /// A waiting watch cannot distinguish a store without changes from one that has stopped answering this
-/// instance. If that happened to all readers at once, no other entry would take over until the watches time
-/// out, and changes would take effect too late everywhere.
+/// instance. If that happened to all readers at the same time, no other entry would take over until the
+/// watches time out, and changes would take effect too late everywhere.
 pub(super) async fn probe<P: Platform>(control: Rc<Control<P>>) {
     loop {
         time::sleep(PROBE).await;
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -73,7 +73,7 @@
         let end_ms = fleet.now_ms + span_ms;
         while fleet.now_ms < end_ms {
             self.records.resize_with(fleet.nodes.len(), Record::default);
-            self.answer(fleet);
+            self.respond(fleet);
             for index in 0..fleet.nodes.len() {
                 self.step(fleet, index);
             }
@@ -81,7 +81,7 @@
         }
     }
 
-    fn answer(&mut self, fleet: &mut Fleet) {
+    fn respond(&mut self, fleet: &mut Fleet) {
         let now_ms = fleet.now_ms;
         while let Some((_, index, sent_ms)) =
             self.in_flight.pop_front_if(|(at_ms, ..)| *at_ms <= now_ms)
@@ -90,7 +90,7 @@
             if node.is_silent {
                 continue;
             }
-            node.limits.record_answer(key(0), self.limit, sent_ms, now_ms, now_ms);
+            node.limits.record_response(key(0), self.limit, sent_ms, now_ms, now_ms);
             if self.limit.is_some() {
                 self.records[index].first_answer_ms.get_or_insert(now_ms);
             }
@@ -194,15 +194,15 @@
     }
 }
 
-/// Guards against an answer to an older request that ends a limit which the endpoint has just
+/// Guards against a response to an older request that ends a limit which the endpoint has just
 /// stated.
 #[test]
-fn an_overtaken_answer_does_not_end_a_limit() {
+fn an_overtaken_response_does_not_end_a_limit() {
     let (endpoint, mut limits) = (EndpointKey::of("one"), Limits::default());
-    assert!(limits.record_answer(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
-    assert!(limits.record_answer(endpoint, None, 950, 1_050, START_MS).is_none());
+    assert!(limits.record_response(endpoint, Some(rate(2.0)), 900, 1_000, START_MS).is_some());
+    assert!(limits.record_response(endpoint, None, 950, 1_050, START_MS).is_none());
     assert_eq!(limits.rate(endpoint), Some(rate(2.0)));
-    assert!(limits.record_answer(endpoint, None, 1_060, 1_100, START_MS).is_some());
+    assert!(limits.record_response(endpoint, None, 1_060, 1_100, START_MS).is_some());
     assert_eq!(limits.rate(endpoint), None);
 }
 
@@ -230,7 +230,7 @@
     const ENDPOINTS: usize = 600;
     let mut limits = Limits::default();
     for index in 0..ENDPOINTS {
-        limits.record_answer(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
+        limits.record_response(key(index), Some(rate(2.0)), 900, 1_000, START_MS);
     }
     assert_eq!(limits.updates(1_100).len(), ENDPOINTS, "recent changes");
     let updates: Vec<Vec<LimitUpdate>> =
@@ -252,6 +252,6 @@
     assert_eq!(
         limits::share(rate(0.0), first(1)),
         1,
-        "only an answer shows that a limit has ended"
+        "only a response shows that a limit has ended"
     );
 }
--- a/tests/gateway/warmup.rs
+++ b/tests/gateway/warmup.rs
@@ -119,7 +119,7 @@
     }
 }
 
-/// The same in the largest fleet, in which all entries restart at once.
+/// The same in the largest fleet, in which all entries restart together.
 #[test]
 fn the_largest_fleet_keeps_the_bound_while_all_entries_restart() {
     let faults = [
