--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,15 +15,15 @@
 /// Maximum size of a stray response body that is read to skip it, in bytes.
 const MAX_STRAY_BYTES: usize = 1 << 20;
 
-/// Uncached prompt tokens from which a send is announced to the other entries at once. The engine
+/// Uncached prompt tokens from which a send is announced to the other entries immediately. The engine
 /// spends 40 ms or more on the prefill, and a short prompt that an entry unaware of it sends to the same
 /// engine misses its latency target.
 const ANNOUNCE_TOKENS: u32 = 2_000;
-/// Fraction of an engine's slots in use from which a send is announced at once as well. Otherwise the
-/// other entries would send to the same last slots.
+/// Fraction of an engine's slots in use from which a send is announced immediately as well. Otherwise
+/// the other entries would send to the same last slots.
 const ANNOUNCE_FILL_RATIO: f64 = 0.75;
 
-/// Whether a send has to be announced to the other entries at once.
+/// Whether a send has to be announced to the other entries immediately.
 fn must_announce(choice: &choose::Choice<'_>) -> bool {
     let fill_ratio = f64::from(choice.work.requests) / f64::from(choice.endpoint.slots.max(1));
     choice.unread_tokens >= ANNOUNCE_TOKENS || fill_ratio >= ANNOUNCE_FILL_RATIO
@@ -269,7 +269,7 @@
         let change = limits.record_response(endpoint.key, info.limit, sent_ms, now_ms, unix_ms);
         if let Some(change) = change {
             request_log::log_endpoint_limit(&self.log, &endpoint.id, change, "answer");
-            // Without the announcement the other entries would go on at their previous rate.
+            // Without the announcement the other entries would continue to send at their previous rate.
             self.shared.urgent_update.notify_one();
         }
     }
@@ -286,11 +286,13 @@
         self.health.borrow_mut().record_misdirected(endpoint.key, self.now_ms());
     }
 
-    /// Reads the rest of a short response if it arrives at once, and returns the connection to the pool.
+    /// Reads the rest of a short response if it arrives within a short timeout, and returns the
+    /// connection to the pool.
     async fn recycle(&self, endpoint: &directory::Endpoint, mut connection: http1::Connection) {
         /// Time to wait for the rest. The body of a refusal arrives together with its head.
-        const REST: Duration = Duration::from_millis(20);
-        if let Ok(Ok(_)) = time::timeout(REST, connection.read_body(MAX_STRAY_BYTES)).await {
+        const REST_TIMEOUT: Duration = Duration::from_millis(20);
+        if let Ok(Ok(_)) = time::timeout(REST_TIMEOUT, connection.read_body(MAX_STRAY_BYTES)).await
+        {
             self.pool.borrow_mut().put(endpoint.addr, connection, self.now_ms());
         }
     }
--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -1,8 +1,9 @@
 //! One HTTP/1.1 connection to an endpoint or to the platform.
 //!
-//! A client with a built-in pool hides what matters here: whether a request has been sent, whether
-//! unexpected bytes are left in the connection, and whether a response without a length was ended or
-//! reset. This module therefore manages the connection itself; `httparse` parses the heads.
+//! A client library with a built-in pool does not expose what the gateway needs to know: whether a request
+//! has been sent, whether unexpected bytes are left in the connection, and whether a response without a
+//! length was ended or reset. This module therefore manages the connection itself; `httparse` parses the
+//! heads.
 
 use std::io;
 use std::net::SocketAddr;
--- a/src/gateway/policy/health.rs
+++ b/src/gateway/policy/health.rs
@@ -25,7 +25,7 @@
     avoid_until_ms: u64,
     avoid_ms: u64,
     failed_share: f64,
-    failed_at_ms: u64,
+    updated_ms: u64,
     response_ms: Option<f64>,
     last_bytes_ms: u64,
 }
@@ -37,8 +37,8 @@
 }
 
 impl Health {
-    /// Records that no connection was made, or that the endpoint was silent where a response was
-    /// due.
+    /// Records that no connection was established, or that the endpoint sent no data while a response
+    /// was due.
     pub fn record_unreachable(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let observed = self.observed.entry(endpoint).or_default();
         if observed.avoid_until_ms > now_ms {
@@ -49,7 +49,7 @@
     }
 
     /// Records that another endpoint now has the address. This lasts until the endpoint list
-    /// changes, so the endpoint is avoided for the longest time at once.
+    /// changes, so the endpoint is avoided for the maximum time immediately.
     pub fn record_misdirected(&mut self, endpoint: EndpointKey, now_ms: u64) {
         let observed = self.observed.entry(endpoint).or_default();
         observed.avoid_ms = MAX_AVOID_MS;
@@ -82,15 +82,15 @@
     pub fn record_response(
         &mut self,
         endpoint: EndpointKey,
-        is_good: bool,
+        is_success: bool,
         took_ms: u64,
         now_ms: u64,
     ) {
         let observed = self.observed.entry(endpoint).or_default();
-        let sample = if is_good { 0.0 } else { 1.0 };
+        let sample = if is_success { 0.0 } else { 1.0 };
         observed.failed_share = decayed_share(observed, now_ms);
         observed.failed_share += (sample - observed.failed_share) * NEWEST_WEIGHT;
-        observed.failed_at_ms = now_ms;
+        observed.updated_ms = now_ms;
         let took_ms = took_ms as f64;
         let response_ms = observed.response_ms.unwrap_or(took_ms);
         observed.response_ms = Some(response_ms + (took_ms - response_ms) * NEWEST_WEIGHT);
@@ -121,6 +121,6 @@
 }
 
 fn decayed_share(observed: &Observed, now_ms: u64) -> f64 {
-    let quiet_ms = now_ms.saturating_sub(observed.failed_at_ms) as f64;
-    observed.failed_share * 0.5_f64.powf(quiet_ms / HALF_LIFE_MS)
+    let elapsed_ms = now_ms.saturating_sub(observed.updated_ms) as f64;
+    observed.failed_share * 0.5_f64.powf(elapsed_ms / HALF_LIFE_MS)
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -25,7 +25,7 @@
 /// Maximum number of failed connects per request. It is more than it takes to move away from two failed
 /// zones.
 const MAX_FAILED_CONNECTS: u32 = 6;
-/// Interval at which an eligible endpoint is looked for again if there is none.
+/// Interval between two searches for an eligible endpoint while there is none.
 const NO_ENDPOINT_POLL: Duration = Duration::from_millis(25);
 /// Fraction of the latency target for which a request waits for an eligible endpoint. It is below an
 /// eighth, so that the caller can still meet the target elsewhere.
@@ -269,9 +269,10 @@
         let service = job.service();
         let now_ms = self.now_ms();
         let eligibility = self.eligibility(snapshot, now_ms);
-        let candidates = snapshot
-            .accepting(&service.name, job.evacuation_key(), now_ms)
-            .filter(|one| !job.tried_endpoints.contains(&one.key) && eligibility.allows(one));
+        let candidates =
+            snapshot.accepting(&service.name, job.evacuation_key(), now_ms).filter(|endpoint| {
+                !job.tried_endpoints.contains(&endpoint.key) && eligibility.allows(endpoint)
+            });
         let load_table = self.shared.load_table();
         let prefix_index = self.shared.prefix_index();
         let health = self.health.borrow();
@@ -319,16 +320,21 @@
             Ok(Ok(_)) if !response.info.is_signed => None,
             Ok(Ok(body)) => Some(body),
         };
-        let is_good = body.is_some() && !is_failure;
-        self.health.borrow_mut().record_response(response.endpoint.key, is_good, took_ms, now_ms);
-        if !is_good {
+        let is_success = body.is_some() && !is_failure;
+        self.health.borrow_mut().record_response(
+            response.endpoint.key,
+            is_success,
+            took_ms,
+            now_ms,
+        );
+        if !is_success {
             job.may_have_run = true;
             slog::info!(self.log, "endpoint failed"; "request" => job.request.id.as_str(),
                 "endpoint" => response.endpoint.id.as_str(), "status" => response.head.status,
                 "whole" => body.is_some(), "attempt" => job.attempts);
         }
         match body {
-            Some(body) if is_good => {
+            Some(body) if is_success => {
                 self.pool.borrow_mut().put(response.endpoint.addr, response.connection, now_ms);
                 Ok(Some((response.head, body)))
             }
