--- a/src/billing.rs
+++ b/src/billing.rs
@@ -14,11 +14,11 @@
 use crate::{control, hub, lease, usage};
 
 /// Minimum interval between two writes of a sheet.
-const SHEET_MS: u64 = 3_000;
+const MIN_SHEET_INTERVAL_MS: u64 = 3_000;
 /// Maximum rate of sheet writes by all daemons together; the interval grows with the fleet.
-const SHEETS_PER_S: u64 = 25;
+const MAX_SHEETS_PER_S: u64 = 25;
 /// Minimum remaining lease term for a report: the timeout of the call plus a margin.
-const REPORT_MS: u64 = 2_600;
+const MIN_REPORT_TERM_MS: u64 = 2_600;
 /// Interval between two checks whether the next window is due.
 const CHECK_INTERVAL_MS: u64 = 500;
 
@@ -50,7 +50,7 @@
     let mut version = 0;
     loop {
         let fleet = control.with_shared(|shared| shared.fleet.len()) as u64;
-        let pause_ms = SHEET_MS.max(fleet * 1000 / SHEETS_PER_S);
+        let pause_ms = MIN_SHEET_INTERVAL_MS.max(fleet * 1000 / MAX_SHEETS_PER_S);
         let jitter_ms = rand::random_range(0..pause_ms / 4);
         time::sleep(Duration::from_millis(pause_ms - pause_ms / 8 + jitter_ms)).await;
         let sheet = control.hub.sheet.lock().map(|sheet| sheet.clone()).unwrap_or_default();
@@ -136,7 +136,7 @@
         let sealed = seal(control, region, window).await?;
         // A holder that was suspended here and resumes after its term must not report: its successor
         // does.
-        if lease.epoch_with_remaining(control.hub.now_ms(), REPORT_MS).is_none() {
+        if lease.epoch_with_remaining(control.hub.now_ms(), MIN_REPORT_TERM_MS).is_none() {
             return Ok(());
         }
         control.platform.report(&sealed.report(region)).await?;
--- a/src/duties.rs
+++ b/src/duties.rs
@@ -19,7 +19,7 @@
 /// Number of entries that contend for a duty without delay.
 const CONTENDERS: usize = 2;
 /// Pause between two checks of an entry that does not contend; multiplied by its rank.
-const IDLE_MS: u64 = 2_000;
+const STANDBY_PAUSE_MS: u64 = 2_000;
 /// Longest pause between two steps of a contender, so that it notices a shutdown.
 const MAX_STEP_MS: u64 = 250;
 
@@ -82,7 +82,7 @@
                 task::spawn_local(contend(Rc::clone(&control), duty));
             }
         }
-        time::sleep(Duration::from_millis(IDLE_MS)).await;
+        time::sleep(Duration::from_millis(STANDBY_PAUSE_MS)).await;
     }
 }
 
@@ -125,12 +125,12 @@
     let key = duty.key();
     let me = control.me();
     let weight = |id: &str| xxh3::xxh3_64_with_seed(id.as_bytes(), xxh3::xxh3_64(key.as_bytes()));
-    let mine = weight(&me.id);
+    let own_weight = weight(&me.id);
     control.with_shared(|shared| {
         let ready = shared.fleet.iter().filter(|member| member.state == membership::State::Ready);
         ready
             .filter(|member| member.role == membership::Role::Entry && member.region == me.region)
-            .filter(|member| member.id != me.id && weight(&member.id) > mine)
+            .filter(|member| member.id != me.id && weight(&member.id) > own_weight)
             .count()
     })
 }
@@ -141,7 +141,7 @@
 /// each rank: the first ones may have failed, and the membership record of a failed entry looks like
 /// that of a live one. If the others only waited for them, nobody would perform the duty.
 fn rank_pause_ms(rank: usize) -> u64 {
-    if rank < CONTENDERS { 0 } else { rank as u64 * IDLE_MS }
+    if rank < CONTENDERS { 0 } else { rank as u64 * STANDBY_PAUSE_MS }
 }
 
 /// Contends for a duty and performs it while this daemon holds its lease.
@@ -158,7 +158,8 @@
         let holds = contender.epoch(control.hub.now_ms()).is_some();
         if !holds {
             let ready = control.hub.ready.load(Ordering::Acquire);
-            let pause_ms = if ready { rank_pause_ms(rank(&control, &duty)) } else { IDLE_MS };
+            let pause_ms =
+                if ready { rank_pause_ms(rank(&control, &duty)) } else { STANDBY_PAUSE_MS };
             time::sleep(Duration::from_millis(pause_ms)).await;
             if !ready {
                 continue;
--- a/src/scaler.rs
+++ b/src/scaler.rs
@@ -18,10 +18,10 @@
 
 /// Interval between two evaluations of the zone.
 const EVALUATION_INTERVAL_MS: u64 = 2_000;
-/// How long load offers are collected.
-const COLLECT_MS: u64 = 60;
+/// How long the sides' answers to a load query are collected.
+const LOAD_QUERY_TIMEOUT_MS: u64 = 60;
 /// Minimum remaining lease term for an order: the timeout of the call plus a margin.
-const ORDER_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
+const MIN_ORDER_TERM_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
 /// A new holder sends no orders while an order of its predecessor may still be in flight.
 const TAKEOVER_DELAY_MS: u64 = orders::SEND_TIMEOUT_MS + 600;
 
@@ -42,7 +42,7 @@
     note: String,
 }
 
-/// An endpoint with the offer of its side, if the side answered.
+/// An endpoint with the load reported by its side, if the side answered.
 struct Load {
     location: membership::EndpointLocation,
     offer: Option<wire::Offer>,
@@ -102,7 +102,7 @@
             let action = match plan {
                 scaling::Plan::Hold => continue,
                 scaling::Plan::Start => orders::Action::Start { service: service.name.clone() },
-                scaling::Plan::Stop => match self.drained(control, lease, &loads).await {
+                scaling::Plan::Stop => match self.find_drained(control, lease, &loads).await {
                     Some(endpoint) => orders::Action::Stop { endpoint },
                     None => continue,
                 },
@@ -154,7 +154,7 @@
 
     /// Returns an endpoint that is drained and can be stopped; otherwise asks the least loaded one to
     /// drain.
-    async fn drained(
+    async fn find_drained(
         &mut self,
         control: &control::Control,
         lease: &lease::Contender,
@@ -185,7 +185,7 @@
     action: orders::Action,
 ) -> Result<(), Failure> {
     let region = &control.settings.region;
-    let Some(epoch) = lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) else {
+    let Some(epoch) = lease.epoch_with_remaining(control.hub.now_ms(), MIN_ORDER_TERM_MS) else {
         return Ok(());
     };
     let order = orders::Order {
@@ -199,7 +199,7 @@
     }
     // The store may have answered slowly, or this process may have been suspended during the call, so
     // the term is checked again right before the order is sent.
-    if lease.epoch_with_remaining(control.hub.now_ms(), ORDER_MS) != Some(epoch) {
+    if lease.epoch_with_remaining(control.hub.now_ms(), MIN_ORDER_TERM_MS) != Some(epoch) {
         return Ok(());
     }
     slog::info!(control.log, "order"; "zone" => zone, "epoch" => epoch.0,
@@ -281,6 +281,6 @@
             }
         }
     };
-    let _ = time::timeout(Duration::from_millis(COLLECT_MS), collect).await;
+    let _ = time::timeout(Duration::from_millis(LOAD_QUERY_TIMEOUT_MS), collect).await;
     loads
 }
