--- a/src/entry/intake.rs
+++ b/src/entry/intake.rs
@@ -171,7 +171,7 @@
     snapshot.keys.check(text)
 }
 
-/// Checks a request against its account's limits, reads its body and resolves where it goes.
+/// Checks a request against its account's limits, reads its body and resolves its service and class.
 async fn admit(
     worker: &Rc<Worker>,
     http: &HttpRequest,
@@ -208,7 +208,7 @@
     let limit = Duration::from_millis(settings.request_arrival_ms);
     let body = body::read(payload, settings.max_body_bytes, limit).await?;
     check_key_not_forwarded(http, &body)?;
-    let destination = destination(config, http, &body)?;
+    let destination = resolve_destination(config, http, &body)?;
     let service = config.service_at(destination.service);
     record.service = service.name.clone();
     let class_key = resolve_class(config, http, account, service)?;
@@ -216,7 +216,7 @@
     record.class = class.name.clone();
     let is_safe = matches!(*http.method(), Method::GET | Method::HEAD | Method::OPTIONS);
     let repeatable = service.spec.repeatable || is_safe;
-    let idempotency = idempotency(worker, http, &account.name, &service.name)?;
+    let idempotency = idempotency_digest(worker, http, &account.name, &service.name)?;
     if !repeatable && idempotency.is_none() {
         return Err(refuse(error::Kind::IdempotencyKeyRequired));
     }
@@ -278,7 +278,7 @@
     prefix: u64,
 }
 
-fn destination(
+fn resolve_destination(
     config: &config::Config,
     http: &HttpRequest,
     body: &[u8],
@@ -332,7 +332,7 @@
     }
 }
 
-fn idempotency(
+fn idempotency_digest(
     worker: &Worker,
     http: &HttpRequest,
     account: &str,
--- a/src/lease/contender.rs
+++ b/src/lease/contender.rs
@@ -80,7 +80,7 @@
 
     /// Creates a contender whose name contains an address that this process has bound. A record of an
     /// earlier start under this name then belongs to a process that has ended, so it is replaced without
-    /// waiting. After all entries are killed at once, the duties resume one term earlier.
+    /// waiting. After all entries are killed at the same time, the duties resume one term earlier.
     #[must_use]
     pub fn with_exclusive_name(name: CompactString, boot: u64, timing: Timing) -> Self {
         Self { has_exclusive_name: true, ..Self::new(name, boot, timing) }
@@ -171,7 +171,7 @@
     pub fn notice(&self, now_ms: u64) -> Option<TermNotice> {
         let (version, epoch) = self.last_held?;
         let left_ms =
-            self.holding.as_ref().map_or(0, |one| self.end_ms(one).saturating_sub(now_ms));
+            self.holding.as_ref().map_or(0, |holding| self.end_ms(holding).saturating_sub(now_ms));
         let is_over = self.releasing;
         let has_notice = is_over || self.holding.is_some();
         let idle_ms = self.acted_ms.map_or(u64::MAX, |acted_ms| now_ms.saturating_sub(acted_ms));
@@ -259,8 +259,10 @@
         if self.is_stale(&seen) {
             return;
         }
-        let own_write =
-            self.pending.iter().position(|one| seen.record.as_ref() == Some(&one.write.record));
+        let own_write = self
+            .pending
+            .iter()
+            .position(|pending| seen.record.as_ref() == Some(&pending.write.record));
         if let Some(own_write) = own_write {
             let pending = self.pending.swap_remove(own_write);
             self.apply_accepted(pending, seen.version, now_ms);
--- a/src/link.rs
+++ b/src/link.rs
@@ -18,7 +18,7 @@
 /// Timeout for connecting and the exchange of greetings.
 pub const OPEN_MS: u64 = 1_000;
 /// Timeout for writing one batch of messages to a peer.
-const WRITE_MS: u64 = 5_000;
+const WRITE_TIMEOUT_MS: u64 = 5_000;
 const READ_BYTES: usize = 64 << 10;
 
 fn broken(reject: seal::Reject) -> io::Error {
@@ -125,7 +125,7 @@
             }
             // A frozen peer neither reads nor closes the connection. Without a timeout the link would
             // look open for as long as the kernel retransmits, and its streams would hang.
-            let limit = Duration::from_millis(WRITE_MS);
+            let limit = Duration::from_millis(WRITE_TIMEOUT_MS);
             tokio::time::timeout(limit, stream.write_all(&batch))
                 .await
                 .map_err(|_| timed_out())??;
@@ -208,7 +208,7 @@
     let outbox = Outbox::new(seal::Sealer::new(outgoing));
     let writer = outbox.clone();
     tokio::task::spawn_local(async move {
-        // Any end of the writer ends the link; the reader sees the closed socket.
+        // The link ends when its writer ends for any reason; the reader then sees the closed socket.
         let _ = writer.write_all(write).await;
         writer.close();
     });
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -75,7 +75,9 @@
         },
         cli::Command::Status => status(args).await,
         cli::Command::Explain { request } => explain_request(args, request).await,
-        cli::Command::Story { request, files, around } => request_story(request, files, *around),
+        cli::Command::Story { request, files, around } => {
+            request_log_lines(request, files, *around)
+        }
         cli::Command::Duties => duties(args).await,
         cli::Command::Claims { command } => match command {
             cli::ClaimCommand::List => resolve::list_claims(args).await,
@@ -86,7 +88,11 @@
     }
 }
 
-fn request_story(request: &str, files: &[PathBuf], around: bool) -> Result<String, CommandError> {
+fn request_log_lines(
+    request: &str,
+    files: &[PathBuf],
+    around: bool,
+) -> Result<String, CommandError> {
     let mut lines = Vec::new();
     for file in files {
         let text = std::fs::read_to_string(file)
