--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -70,7 +70,7 @@
     /// The first header with this name.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|one| one.name.eq_ignore_ascii_case(name)).map(Header::text)
+        self.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(Header::text)
     }
 }
 
@@ -251,7 +251,7 @@
     /// If the body is truncated or is not valid HTTP.
     pub async fn next_piece(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
-            if let Some(piece) = self.step()? {
+            if let Some(piece) = self.decode_buffered()? {
                 return Ok(Some(piece));
             }
             if self.is_body_complete() {
@@ -267,7 +267,7 @@
     }
 
     /// Decodes the next piece from the buffered bytes.
-    fn step(&mut self) -> Result<Option<Bytes>, Error> {
+    fn decode_buffered(&mut self) -> Result<Option<Bytes>, Error> {
         loop {
             match self.framing {
                 Framing::Done => return Ok(None),
@@ -289,7 +289,7 @@
                     return Ok((!piece.is_empty()).then_some(piece));
                 }
                 Framing::ChunkSize => {
-                    let Some(line) = self.line()? else { return Ok(None) };
+                    let Some(line) = self.take_line()? else { return Ok(None) };
                     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
                     let digits = std::str::from_utf8(digits).map_err(|_| Error::Malformed)?;
                     let size =
@@ -298,14 +298,14 @@
                         if size == 0 { Framing::Trailer } else { Framing::ChunkData(size) };
                 }
                 Framing::ChunkEnd => {
-                    let Some(line) = self.line()? else { return Ok(None) };
+                    let Some(line) = self.take_line()? else { return Ok(None) };
                     if !line.is_empty() {
                         return Err(Error::Malformed);
                     }
                     self.framing = Framing::ChunkSize;
                 }
                 Framing::Trailer => {
-                    let Some(line) = self.line()? else { return Ok(None) };
+                    let Some(line) = self.take_line()? else { return Ok(None) };
                     if line.is_empty() {
                         self.framing = Framing::Done;
                     }
@@ -319,8 +319,8 @@
         self.buffer.split_to(count).freeze()
     }
 
-    /// The next line without its line ending; `None` if it is incomplete.
-    fn line(&mut self) -> Result<Option<Bytes>, Error> {
+    /// Takes the next line without its line ending from the buffer; `None` if it is incomplete.
+    fn take_line(&mut self) -> Result<Option<Bytes>, Error> {
         let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
             if self.buffer.len() > MAX_SIZE_LINE_BYTES {
                 return Err(Error::Malformed);
--- a/src/operator/confirm.rs
+++ b/src/operator/confirm.rs
@@ -1,7 +1,8 @@
 //! Waits until several daemons hold a change that the store has accepted.
 //!
-//! Daemons receive changes from the few that read the store. If only one of them holds a change and fails
-//! together with the store, the change is not in force until the store is available again.
+//! Only a few daemons read the store; the others receive changes from them. If only one of the readers
+//! holds a change and fails together with the store, the change is not in force until the store is
+//! available again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,13 +16,13 @@
 use crate::{admin, cli, membership};
 
 /// Number of daemons that have to hold a change.
-const HOLDERS: usize = 3;
+const REQUIRED_HOLDERS: usize = 3;
 /// Longest wait. A zone whose readers have failed has a new reader within 20 s.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause between two polling rounds.
 const POLL_PAUSE: Duration = Duration::from_millis(50);
 /// Maximum number of daemons polled in one round.
-const POLLED_PER_ROUND: usize = 16;
+const MAX_POLLED_PER_ROUND: usize = 16;
 /// Time limit for one daemon's answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -52,8 +53,8 @@
     let zones =
         |of: &BTreeMap<CompactString, CompactString>| of.values().collect::<BTreeSet<_>>().len();
     // The members may still include the record of a daemon that has failed.
-    let needed = HOLDERS.min(members.len().saturating_sub(1)).max(1);
-    holders.len() >= needed && zones(holders) >= zones(members).min(2)
+    let required = REQUIRED_HOLDERS.min(members.len().saturating_sub(1)).max(1);
+    holders.len() >= required && zones(holders) >= zones(members).min(2)
 }
 
 /// Waits until enough daemons hold a change.
@@ -97,7 +98,7 @@
     let gone = membership::State::Gone.to_string();
     let present: Vec<_> = status.members.iter().filter(|member| member.state != gone).collect();
     let unknown = present.iter().filter(|member| !holders.contains_key(&member.id));
-    let polled = unknown.choose_multiple(&mut rand::rng(), POLLED_PER_ROUND).into_iter().map(
+    let polled = unknown.choose_multiple(&mut rand::rng(), MAX_POLLED_PER_ROUND).into_iter().map(
         async |member| {
             let base = format!("http://{}", member.admin_addr);
             let answer =
