--- a/src/operator/confirm.rs
+++ b/src/operator/confirm.rs
@@ -1,8 +1,8 @@
 //! Waits until several daemons hold a change that the store has accepted.
 //!
-//! Only a few daemons read the store; the others receive changes from them. If only one of the readers
-//! holds a change and fails together with the store, the change is not in force until the store is
-//! available again.
+//! Only a few daemons read the store; the others receive changes from them. If only one daemon holds a
+//! change and fails together with the store, the change is not in force until the store is available
+//! again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
