--- a/tests/gateway/choice.rs
+++ b/tests/gateway/choice.rs
@@ -446,7 +446,7 @@
     for endpoint in &endpoints {
         let longest_ms = if endpoint.key == endpoints[0].key { 130 } else { 100 };
         (0..6).for_each(|_| {
-            entry.event_gaps.record_stream(endpoint.key, 90, longest_ms, NOW_MS - 500)
+            entry.event_gaps.record_stream(endpoint.key, 90, longest_ms, NOW_MS - 500);
         });
     }
     for seed in 0..20 {
