--- a/tests/processes/bad_input.rs
+++ b/tests/processes/bad_input.rs
@@ -8,8 +8,8 @@
 use crate::caller;
 use crate::fleet::{self, Fleet, FleetOptions};
 
-/// Guards against malformed requests that reach the engine, get an unspecific answer or disturb the next
-/// request.
+/// Guards against malformed requests that reach the engine, get an answer without a specific error code
+/// or disturb the next request.
 #[test]
 fn bad_input_is_refused_with_its_error_code() {
     let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
--- a/tests/processes/configuration.rs
+++ b/tests/processes/configuration.rs
@@ -101,8 +101,8 @@
     }
 }
 
-/// An invalid configuration gets into the store without the operator's tool. Every daemon refuses it with the
-/// position of the error, keeps the last valid one, and applies the next valid one.
+/// An invalid configuration is written to the store without the operator's tool. Every daemon refuses it with
+/// the position of the error, keeps the last valid one, and applies the next valid one.
 #[test]
 fn invalid_configuration_in_the_store_is_refused() {
     let fleet = Fleet::start(FleetOptions::default());
--- a/tests/processes/keys.rs
+++ b/tests/processes/keys.rs
@@ -13,7 +13,7 @@
 }
 
 /// A key is withdrawn while one of its requests streams and another waits in the queue. Guards against a
-/// leaked key that costs its account until the last stream ends.
+/// leaked key that keeps incurring cost for its account until the last stream ends.
 #[test]
 fn withdrawn_key_ends_running_and_queued_requests() {
     let fleet = Fleet::start(single_slot());
--- a/tests/processes/orders.rs
+++ b/tests/processes/orders.rs
@@ -85,7 +85,7 @@
 }
 
 /// The entries that contend for a duty first die one after another. Guards against the others waiting for
-/// them: billing and orders would stop without any sign.
+/// them: billing and orders would stop silently.
 #[test]
 fn duty_survives_the_death_of_its_first_contenders() {
     let mut fleet =
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -27,7 +27,7 @@
 }
 
 /// Low-priority lookups overload an endpoint with one slot and a queue of eight. Guards against hearing
-/// summaries, which have a higher priority, being shed. Lookups that find no place in the queue are
+/// summaries, which have a higher priority, being shed. Lookups that do not fit in the queue are
 /// refused at once with a retry time and don't run.
 #[test]
 fn flood_of_lookups_sheds_no_hearing_summary() {
--- a/tests/processes/path.rs
+++ b/tests/processes/path.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// Guards against an engine that generates on for a caller that has disconnected.
+/// Guards against an engine that keeps generating after its caller has disconnected.
 #[test]
 fn a_caller_that_hangs_up_is_cancelled_at_the_engine() {
     let fleet = Fleet::start(FleetOptions { token_ms: 50, ..FleetOptions::default() });
--- a/tests/processes/stale.rs
+++ b/tests/processes/stale.rs
@@ -63,7 +63,7 @@
 }
 
 /// An engine closes an idle connection at the moment when the side sends the next request on it. Guards
-/// against failed requests, one in some hundreds, although the endpoint is healthy.
+/// against failed requests, one in several hundred, although the endpoint is healthy.
 #[test]
 fn request_on_a_connection_just_closed_is_sent_again() {
     let token = json!({"choices": [{"delta": {"content": caller::token("stale", 0)}}]});
--- a/tests/processes/streams.rs
+++ b/tests/processes/streams.rs
@@ -30,8 +30,8 @@
     assert_eq!(fleet.engine_runs(), 1, "one run");
 }
 
-/// Guards against a second, billed run of a request whose answer an endpoint holds, because that endpoint
-/// stalls briefly when it is asked.
+/// An endpoint that holds the answer to a request stalls briefly when the request is repeated. Guards against
+/// a second, billed run in place of a replay of that answer.
 #[test]
 fn held_answer_is_found_although_its_endpoint_stalls() {
     const STALL: Duration = Duration::from_millis(60);
@@ -157,7 +157,7 @@
 }
 
 /// The only side stalls briefly, as under a burst of load or on a busy host, and doesn't answer the
-/// first asks. Guards against refused requests although the endpoint is available.
+/// entry's first ask datagrams. Guards against refused requests although the endpoint is available.
 #[test]
 fn brief_stall_of_the_only_side_fails_no_request() {
     let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
