--- a/benches/policy/arrivals.rs
+++ b/benches/policy/arrivals.rs
@@ -72,7 +72,7 @@
                 }
                 let class = class.unwrap_or_else(|| pick_class(scenario, &mut random));
                 let account = account.unwrap_or_else(|| {
-                    // Skews the load towards a few large accounts, as in the present deployments.
+                    // Skews the load towards a few large accounts, as in the current deployments.
                     let point: f64 = random.random();
                     ((point * point) * scenario.accounts as f64) as usize
                 });
--- a/benches/policy/scenario.rs
+++ b/benches/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios: two deployments of the present size, each under normal load, overload, failures and growth.
+//! The scenarios: two deployments of the current size, each under normal load, overload, failures and growth.
 
 use briarwinch::config::ClassSpec;
 
--- a/benches/policy/simulation.rs
+++ b/benches/policy/simulation.rs
@@ -19,7 +19,7 @@
 use crate::scenario::{Event, Policy, Scenario};
 
 const ZONES: usize = 3;
-/// Endpoints asked per request.
+/// Number of endpoints asked for an offer per request.
 const ASK_WIDTH: usize = 3;
 /// Capacity of the queue of an endpoint.
 const QUEUE_CAPACITY: usize = 512;
--- a/benches/slopes/main.rs
+++ b/benches/slopes/main.rs
@@ -52,9 +52,9 @@
 /// Returns the heap bytes of one value, where `make` creates `count` values.
 fn heap_bytes<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
     let before = memory::allocated_bytes();
-    let made = make();
+    let values = make();
     let allocated = memory::allocated_bytes() - before;
-    drop(made);
+    drop(values);
     allocated as f64 / count as f64
 }
 
@@ -84,7 +84,7 @@
 fn queue() {
     let mut queue = queue_with_jobs(10_000);
     let mut id = 10_000;
-    let one = time_ns(5_000, || {
+    let cycle = time_ns(5_000, || {
         for _ in 0..5_000 {
             id += 1;
             queue.push(job(id));
@@ -92,7 +92,7 @@
             queue.finish(started, 400);
         }
     });
-    print("queue: push, pop and finish with 10000 waiting of 3400 accounts", "ns", one);
+    print("queue: push, pop and finish with 10000 waiting of 3400 accounts", "ns", cycle);
     let queue = queue_with_jobs(10_000);
     let ahead = time_ns(200, || {
         for _ in 0..200 {
@@ -192,7 +192,7 @@
     print("offer: size", "bytes", bytes.len() as f64);
     let shared = fleet();
     let digest = shared.digest(([127, 0, 0, 1], 1).into(), false);
-    let one = time_ns(2_000, || {
+    let exchange = time_ns(2_000, || {
         for _ in 0..2_000 {
             let datagram = wire::Datagram::Digest(digest.clone());
             let bytes = seal::seal_datagram(&secret, &datagram).expect("message fits");
@@ -202,7 +202,7 @@
             black_box((shared.is_behind(&digest), shared.is_ahead(&digest)));
         }
     });
-    print("digest: seal, open and compare with 340 daemons", "ns", one);
+    print("digest: seal, open and compare with 340 daemons", "ns", exchange);
     let bytes =
         seal::seal_datagram(&secret, &wire::Datagram::Digest(digest)).expect("message fits");
     print("digest: size", "bytes", bytes.len() as f64);
@@ -240,8 +240,8 @@
         black_box(config::Config::parse(&text).expect("configuration is valid"));
     });
     print("configuration: check that text", "ns", parse);
-    let held = heap_bytes(1, || config::Config::parse(&text).expect("configuration is valid"));
-    print("configuration: memory of its model", "bytes", held);
+    let bytes = heap_bytes(1, || config::Config::parse(&text).expect("configuration is valid"));
+    print("configuration: memory of its model", "bytes", bytes);
 }
 
 fn key(number: u32) -> keys::Versioned {
@@ -299,12 +299,12 @@
         black_box(full.clone());
     });
     print("keys: copy a table of 6800 (a change while traffic reads it)", "ns", copy);
-    let made = keys::generate("account").expect("random bytes");
-    let mut one = keys::Table::default();
-    one.merge(keys::Versioned { revision: 1, record: made.record });
+    let key = keys::generate("account").expect("random bytes");
+    let mut single = keys::Table::default();
+    single.merge(keys::Versioned { revision: 1, record: key.record });
     let check = time_ns(2_000, || {
         for _ in 0..2_000 {
-            black_box(one.check(&made.text).is_ok());
+            black_box(single.check(&key.text).is_ok());
         }
     });
     print("keys: check a key", "ns", check);
@@ -326,10 +326,10 @@
     let pull_bytes = postcard::to_stdvec(&pull).map_or(0, |bytes| bytes.len());
     print("pull: size with 340 daemons", "bytes", pull_bytes as f64);
     print("news: one configuration and one daemon", "bytes", size(&newer) as f64);
-    let news = time_ns(1, || {
+    let update = time_ns(1, || {
         black_box(newer.update_for(&pull));
     });
-    print("news: make them", "ns", news);
+    print("news: make them", "ns", update);
 }
 
 fn streams() {
--- a/benches/spread/main.rs
+++ b/benches/spread/main.rs
@@ -1,6 +1,6 @@
 //! Measures how fast a configuration change reaches all daemons, and what replication costs a daemon in
 //! bytes and processor time. The daemons are control threads in this process on loopback; each change
-//! is given to one of them.
+//! is sent to one of them.
 //!
 //! `cargo bench --bench spread` prints one JSON line for each number of daemons.
 
@@ -129,7 +129,8 @@
     );
 }
 
-/// Gives a daemon a new configuration: acts as a peer that has it, in a thread of its own.
+/// Delivers a new configuration to a daemon from a separate thread, which acts as a peer that
+/// already has it.
 fn announce_config(addr: SocketAddr, version: u64) {
     std::thread::spawn(move || {
         let runner = ntex::rt::System::build().disable_signals().build(ntex::rt::DefaultRuntime);
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -83,7 +83,7 @@
 
 enum End {
     /// The answer is complete and correct.
-    Whole,
+    Complete,
     /// The answer is missing, incomplete or differs from the expected one; the text says how.
     Wrong(String),
     /// The request was refused; the text is the error code or, without one, the HTTP status.
@@ -168,7 +168,7 @@
     line: &Line,
     prompt: &str,
 ) -> Outcome {
-    let mut outcome = Outcome { end: End::Whole, first: None, gaps: Vec::new(), tokens: 0 };
+    let mut outcome = Outcome { end: End::Complete, first: None, gaps: Vec::new(), tokens: 0 };
     outcome.end = match exchange(http, target, key, line, prompt, &mut outcome).await {
         Ok(end) => end,
         Err(error) => End::Wrong(format!("request failed: {error}")),
@@ -254,7 +254,7 @@
             body["body"].as_str() == Some(&json!({"mark": mark(prompt)}).to_string())
         }
     };
-    if matches { End::Whole } else { End::Wrong(format!("unexpected answer: {body}")) }
+    if matches { End::Complete } else { End::Wrong(format!("unexpected answer: {body}")) }
 }
 
 async fn read_stream(
@@ -267,8 +267,8 @@
     let mut payload = response.take_payload();
     let mut pending = Vec::new();
     let mut last = begin;
-    while let Some(piece) = payload.recv().await {
-        pending.extend_from_slice(&piece?);
+    while let Some(chunk) = payload.recv().await {
+        pending.extend_from_slice(&chunk?);
         while let Some(end) = pending.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = pending.drain(..end + 2).collect();
             let event = std::str::from_utf8(&event)?.trim_end();
@@ -277,7 +277,7 @@
             };
             if data == "[DONE]" {
                 if outcome.tokens == max_tokens {
-                    return Ok(End::Whole);
+                    return Ok(End::Complete);
                 }
                 return Ok(End::Wrong(format!(
                     "stream ended after {} of {max_tokens} tokens",
@@ -321,7 +321,7 @@
         let _ = stats.gap_us.record(gap.as_micros() as u64);
     }
     match &outcome.end {
-        End::Whole => {
+        End::Complete => {
             stats.whole += 1;
             let in_time =
                 outcome.first.is_some_and(|first| first.as_millis() as u64 <= line.target_ms);
