--- a/tests/processes/at_most_once.rs
+++ b/tests/processes/at_most_once.rs
@@ -55,7 +55,8 @@
 }
 
 /// The store writes the claim but its answer is lost. Guards against treating this as a failure, so that
-/// the payment never runs, and against writing the claim again unread, so that the payment runs twice.
+/// the payment never runs, and against writing the claim again without reading it, so that the payment runs
+/// twice.
 #[test]
 fn lost_answers_of_the_store_neither_lose_nor_double_a_payment() {
     let fleet = Fleet::start(FleetOptions { entries: 1, engines: 1, ..FleetOptions::default() });
--- a/tests/processes/billing.rs
+++ b/tests/processes/billing.rs
@@ -15,8 +15,8 @@
     for report in record["reports"].as_array().expect("a list") {
         let window = report["window"].as_u64().expect("a window");
         let figures = report["figures"].clone();
-        if let Some(before) = windows.insert(window, figures.clone()) {
-            assert_eq!(before, figures, "window {window} was reported with different figures");
+        if let Some(earlier) = windows.insert(window, figures.clone()) {
+            assert_eq!(earlier, figures, "window {window} was reported with different figures");
         }
     }
     windows
@@ -38,7 +38,7 @@
     });
     let key = fleet.grant("court");
     let mut tokens = 0;
-    let mut ask = |entry: &fleet::Daemon, count: u32| {
+    let mut send_chat = |entry: &fleet::Daemon, count: u32| {
         let prompt = format!("billed {tokens}");
         let answer =
             caller::send(caller::chat(entry, &key), &caller::chat_body(&prompt, count, true));
@@ -47,10 +47,10 @@
         tokens
     };
     for round in 0..4 {
-        ask(&fleet.entries[round % 3], 10);
+        send_chat(&fleet.entries[round % 3], 10);
         fleet.fail_platform(&json!({"lose_answers": round}));
     }
-    let expected = ask(&fleet.entries[2], 10);
+    let expected = send_chat(&fleet.entries[2], 10);
     fleet::wait_for("all usage is reported", || {
         (reported_tokens(&fleet) == expected).then_some(())
     });
@@ -63,9 +63,9 @@
     });
     fleet.entries[holder].process.kill();
     fleet.entries.remove(holder);
-    let expected = ask(&fleet.entries[0], 25);
+    let expected = send_chat(&fleet.entries[0], 25);
     fleet.fail_platform(&json!({"down": true}));
-    let expected = expected.max(ask(&fleet.entries[0], 25));
+    let expected = expected.max(send_chat(&fleet.entries[0], 25));
     fleet.fail_platform(&json!({}));
     fleet::wait_for("the next holder reports the rest", || {
         (reported_tokens(&fleet) == expected).then_some(())
--- a/tests/processes/faults.rs
+++ b/tests/processes/faults.rs
@@ -27,7 +27,7 @@
     paid: Mutex<HashSet<String>>,
 }
 
-fn ask(entry: &Daemon, key: &str, outcomes: &Outcomes, random: &mut StdRng) {
+fn send_chat(entry: &Daemon, key: &str, outcomes: &Outcomes, random: &mut StdRng) {
     let prompt = format!("faults {:x}", random.random::<u64>());
     let count = random.random_range(1..30);
     let request = caller::chat(entry, key);
@@ -36,12 +36,13 @@
     };
     if answer.status == 200 {
         let (tokens, complete) = caller::stream_tokens(&answer.text);
-        let expected: Vec<String> = (0..count).map(|place| caller::token(&prompt, place)).collect();
-        assert_eq!(tokens[..], expected[..tokens.len()], "tokens of another answer");
+        let expected: Vec<String> =
+            (0..count).map(|position| caller::token(&prompt, position)).collect();
+        assert_eq!(tokens[..], expected[..tokens.len()], "tokens differ from the expected answer");
         let has_error = answer.text.contains("event: error");
         assert!(
             complete && tokens.len() == expected.len() || has_error,
-            "incomplete without an error event"
+            "answer is incomplete and has no error event"
         );
         *outcomes.complete.lock().expect("no panic") += u32::from(complete);
     }
@@ -55,7 +56,7 @@
     }
 }
 
-fn pay(entries: &[Daemon], key: &str, outcomes: &Outcomes, random: &mut StdRng) {
+fn send_payment(entries: &[Daemon], key: &str, outcomes: &Outcomes, random: &mut StdRng) {
     let name = format!("payment-{:x}", random.random::<u64>());
     for _ in 0..3 {
         let entry = &entries[random.random_range(0..entries.len())];
@@ -128,8 +129,8 @@
             scope.spawn(move || {
                 let mut random = StdRng::seed_from_u64(SEED + caller);
                 while !done.load(Ordering::Relaxed) {
-                    ask(&fleet.entries[caller as usize % 2], key, outcomes, &mut random);
-                    pay(&fleet.entries, key, outcomes, &mut random);
+                    send_chat(&fleet.entries[caller as usize % 2], key, outcomes, &mut random);
+                    send_payment(&fleet.entries, key, outcomes, &mut random);
                 }
             });
         }
--- a/tests/processes/orders.rs
+++ b/tests/processes/orders.rs
@@ -46,9 +46,9 @@
     fleet::wait_for("the first order", || (!orders(&fleet).is_empty()).then_some(()));
     let suspended = fleet::wait_for("a holder", || holder(&fleet));
     fleet.entries[suspended].process.signal(Signal::SIGSTOP);
-    let before = epoch(&orders(&fleet)[0]);
+    let first_epoch = epoch(&orders(&fleet)[0]);
     fleet::wait_for("the successor orders", || {
-        orders(&fleet).iter().any(|order| epoch(order) > before).then_some(())
+        orders(&fleet).iter().any(|order| epoch(order) > first_epoch).then_some(())
     });
     fleet.entries[suspended].process.signal(Signal::SIGCONT);
     let count = orders(&fleet).len();
