--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -118,8 +118,8 @@
     /// The version and value of an object as of a revision; 0 means the newest.
     fn object_at(&self, key: &str, as_of: u64) -> Option<(u64, &String)> {
         let versions = self.objects.get(key)?;
-        let seen = versions.iter().rev().find(|(version, _)| as_of == 0 || *version <= as_of)?;
-        seen.1.as_ref().map(|value| (seen.0, value))
+        let newest = versions.iter().rev().find(|(version, _)| as_of == 0 || *version <= as_of)?;
+        newest.1.as_ref().map(|value| (newest.0, value))
     }
 
     fn listing(&self, prefix: &str, after: u64) -> Listing {
