--- a/tests/processes/orders.rs
+++ b/tests/processes/orders.rs
@@ -46,9 +46,9 @@
     fleet::wait_for("the first order", || (!orders(&fleet).is_empty()).then_some(()));
     let suspended = fleet::wait_for("a holder", || holder(&fleet));
     fleet.entries[suspended].process.signal(Signal::SIGSTOP);
-    let before = epoch(&orders(&fleet)[0]);
+    let first_epoch = epoch(&orders(&fleet)[0]);
     fleet::wait_for("the successor orders", || {
-        orders(&fleet).iter().any(|order| epoch(order) > before).then_some(())
+        orders(&fleet).iter().any(|order| epoch(order) > first_epoch).then_some(())
     });
     fleet.entries[suspended].process.signal(Signal::SIGCONT);
     let count = orders(&fleet).len();
@@ -85,7 +85,7 @@
 }
 
 /// The entries that contend for a duty first die one after another. Guards against the others waiting for
-/// them: billing and orders would stop without any sign.
+/// them: billing and orders would stop silently.
 #[test]
 fn duty_survives_the_death_of_its_first_contenders() {
     let mut fleet =
