--- a/src/gateway/drain.rs
+++ b/src/gateway/drain.rs
@@ -119,7 +119,7 @@
 
 /// Goes on accepting new callers for a limited time while fewer than half of the other entries serve.
 async fn accept_while_few_serve(shared: &shared::Shared, begin_ms: u64, log: &slog::Logger) {
-    let others = shared.live_entries.load(Ordering::Relaxed).saturating_sub(1);
+    let others = shared.recent_entries.load(Ordering::Relaxed).saturating_sub(1);
     let mut now_ms = begin_ms;
     while accepts_while_draining(
         begin_ms,
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -122,7 +122,7 @@
     let peers = &mut exchange.peers;
     peers.remove_expired(now_ms);
     let budget_entries = peers.retry_budget_entries(now_ms);
-    control.shared.live_entries.store(budget_entries, Ordering::Relaxed);
+    control.shared.recent_entries.store(budget_entries, Ordering::Relaxed);
     let mut fleet_size = control.fleet_size.get();
     let divisor = fleet_size.observe(budget_entries, peers.is_settled(now_ms));
     control.fleet_size.set(fleet_size);
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -64,8 +64,9 @@
     /// Start of the drain on the boot clock, moved forward while new callers are still accepted;
     /// `u64::MAX` if the entry is not stopping.
     pub draining_since_ms: AtomicU64,
-    /// Number of live entries, including this one.
-    pub live_entries: AtomicUsize,
+    /// Number of entries that were heard within the longest retry window, including this one, and at least as
+    /// many as the seeds name. Entries that have died since are among them.
+    pub recent_entries: AtomicUsize,
     /// Number of entries among which the fixed part of the retry budget is divided.
     pub retry_budget_divisor: AtomicUsize,
     /// Whether another entry has received all billing counts of this one.
@@ -110,7 +111,7 @@
             accepts_while_draining: AtomicBool::new(false),
             is_admission_closed: AtomicBool::new(false),
             draining_since_ms: AtomicU64::new(u64::MAX),
-            live_entries: AtomicUsize::new(1),
+            recent_entries: AtomicUsize::new(1),
             retry_budget_divisor: AtomicUsize::new(1),
             counts_delivered: AtomicBool::new(true),
             serving_peers: AtomicUsize::new(0),
