--- a/src/gateway/duties/billing.rs
+++ b/src/gateway/duties/billing.rs
@@ -19,7 +19,7 @@
 const CALL_MS: u64 = 1_300;
 /// Number of peers that a new holder asks for counts. Entries that have ended sent theirs to the holder at
 /// that time and the entries next in line, and while the store is unavailable no one else has them.
-const COLLECTORS: usize = 4;
+const MAX_GATHER_PEERS: usize = 4;
 /// Number of sealed windows kept in the store; a report is due two windows after a window's end.
 const KEPT_SEALS: usize = 8;
 
@@ -87,7 +87,7 @@
         }
         if !self.has_gathered_counts {
             self.has_gathered_counts = true;
-            let peers = control.exchange.borrow().peers.strongest(COLLECTORS, now_ms);
+            let peers = control.exchange.borrow().peers.strongest(MAX_GATHER_PEERS, now_ms);
             pulls::gather_counts(control, &peers).await;
             return election::Tick::Done;
         }
--- a/src/gateway/fleet/datagrams.rs
+++ b/src/gateway/fleet/datagrams.rs
@@ -22,8 +22,8 @@
 const COUNTS_MS: u64 = 200;
 /// In larger fleets the interval grows in proportion, so that the entries that bill are not overloaded.
 const COUNTS_ENTRIES: usize = 100;
-/// Number of entries that store the counts of all: the holder of the duties and its successor.
-const COUNT_RECEIVERS: usize = 2;
+/// Number of collectors, the entries that store the counts of all: the holder of the duties and its successor.
+const COLLECTORS: usize = 2;
 /// How long a notice about a term that was received from its holder is forwarded.
 const NOTICE_FORWARD_MS: u64 = 5_000;
 
@@ -90,23 +90,23 @@
     }
 }
 
-/// Sends this entry's counts to the entries that store them. Returns the time until the next sending in ms.
+/// Sends this entry's counts to the collectors. Returns the time until the next sending in ms.
 fn send_counts<P>(control: &Control<P>, now_ms: u64) -> u64 {
     let shared = &control.shared;
     shared.forget_old_counts();
     let own = control.own_counts();
-    let (receivers, entries) = {
+    let (collectors, entries) = {
         let peers = &control.exchange.borrow().peers;
-        let mut receivers: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
-        for addr in peers.duty_successors(COUNT_RECEIVERS, now_ms) {
-            if receivers.len() < COUNT_RECEIVERS && !receivers.contains(&addr) {
-                receivers.push(addr);
+        let mut collectors: Vec<SocketAddr> = peers.duty_holder(now_ms).into_iter().collect();
+        for addr in peers.duty_successors(COLLECTORS, now_ms) {
+            if collectors.len() < COLLECTORS && !collectors.contains(&addr) {
+                collectors.push(addr);
             }
         }
-        (receivers, 1 + peers.live_count(now_ms))
+        (collectors, 1 + peers.live_count(now_ms))
     };
     let mut outbox = control.outbox.borrow_mut();
-    for (addr, counts) in outbox.batches(&receivers, &own, shared.counted_until_ms()) {
+    for (addr, counts) in outbox.batches(&collectors, &own, shared.counted_until_ms()) {
         let from = shared.settings.peer_addr();
         send_all(
             control,
