--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -5,9 +5,9 @@
 mod claims;
 mod clock;
 mod fake_store;
+mod gossip;
 mod lease;
 mod queue;
-mod spread;
 mod usage;
 
 use proptest::test_runner::{Config, RngSeed};
